--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::limits::Limits;
 use crate::messages::{Answer, AttemptKey, Client, Member, Message, Report, Request, Speech};
-use crate::worker::{transport, Reports};
+use crate::worker::{new_transport, ReportSender};
 use heronslip_policy::{Action, Controller, Effect, Entry, Event, Micros, Outcome, Settings, WorkerState};
 use miniserde::json::{self, Number, Object, Value};
 use peers::{one_at_an_address, Peer, Peers};
@@ -87,7 +87,7 @@
     limits: Arc<Limits>,
     clock: Clock,
     queue: Receiver<Message>,
-    reports: Reports,
+    reports: ReportSender,
     shared: Arc<Shared>,
     last: u64,
     /// When connections to workers were last looked at.
@@ -108,7 +108,7 @@
 impl Core {
     /// A core that knows nothing yet.
     pub fn new(
-        settings: Settings, seed: u64, limits: Arc<Limits>, queue: Receiver<Message>, reports: Reports,
+        settings: Settings, seed: u64, limits: Arc<Limits>, queue: Receiver<Message>, reports: ReportSender,
         shared: Arc<Shared>,
     ) -> Self {
         let counts = vec![Counts::default(); settings.tenants.len() + 1];
@@ -362,14 +362,14 @@
                 // Guards connections: one that waits for the answer to a lost order would never be idle.
                 let worker = self.orders.get(&order).map(|o| &o.0);
                 if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.transports().for_each(|t| t.lapse(order));
+                    peer.transports().for_each(|t| t.abandon(order));
                 }
                 self.ordered(order, Outcome::Timeout, 0);
             }
             Due::Probe(probe) => {
                 let worker = self.probes.get(&probe);
                 if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.transports().for_each(|t| t.lapse(probe));
+                    peer.transports().for_each(|t| t.abandon(probe));
                 }
                 self.probed(probe, Outcome::Timeout, None);
             }
@@ -438,9 +438,9 @@
                 let room = self.make_room(&worker, true);
                 let until = self.until(&worker);
                 match self.peers.reach(&worker).filter(may) {
-                    Some(peer) if room => peer.transport.order(order, function, count, until),
-                    Some(_) => self.reports.ordered(order, Outcome::Moot, 0),
-                    None => self.reports.ordered(order, Outcome::ConnectFailed, 0),
+                    Some(peer) if room => peer.transport.send_load(order, function, count, until),
+                    Some(_) => self.reports.load_ended(order, Outcome::Moot, 0),
+                    None => self.reports.load_ended(order, Outcome::ConnectFailed, 0),
                 }
                 self.timers.set(now + self.limits.order, Due::Order(order));
             }
@@ -450,9 +450,9 @@
                 let probe = self.last;
                 let room = self.make_room(&worker, true);
                 match self.peers.reach(&worker) {
-                    Some(peer) if room => peer.transport.probe(probe),
-                    Some(_) => self.reports.probed(probe, Outcome::Moot, None),
-                    None => self.reports.probed(probe, Outcome::ConnectFailed, None),
+                    Some(peer) if room => peer.transport.send_probe(probe),
+                    Some(_) => self.reports.probe_ended(probe, Outcome::Moot, None),
+                    None => self.reports.probe_ended(probe, Outcome::ConnectFailed, None),
                 }
                 self.probes.insert(probe, worker);
                 self.timers.set(now + self.limits.probe, Due::Probe(probe));
@@ -486,7 +486,7 @@
     /// connections are at their bound, a part of them makes way, those idle for longest first. Orders leave a
     /// quarter to calls: a new function may be asked for at all workers at once.
     fn make_room(&mut self, worker: &str, order: bool) -> bool {
-        if !self.peers.get(worker).is_some_and(|p| p.transport.connections().1) {
+        if !self.peers.get(worker).is_some_and(|p| p.transport.connections().needs_new) {
             return true;
         }
         let all = self.limits.worker_connections;
@@ -520,7 +520,7 @@
         let until = self.until(&worker);
         match self.peers.reach(&worker).filter(ready) {
             Some(peer) if room => {
-                peer.transport.send(key, &request, budget, until);
+                peer.transport.send_attempt(key, &request, budget, until);
                 self.timers.set(now.saturating_add(budget), Due::Attempt(key));
             }
             _ => {
@@ -583,7 +583,7 @@
                 (peer.member, peer.started_at) = (member, started_at);
             }
             None => {
-                let to = transport(member.speech, member.address, &self.limits, &self.reports);
+                let to = new_transport(member.speech, member.address, &self.limits, &self.reports);
                 let id = member.id.clone();
                 let old = self.peers.insert(Peer { member, started_at, transport: to, former: Vec::new() });
                 if let (Some(mut old), Some(peer)) = (old, self.peers.get_mut(&id)) {
--- a/heronslip/src/core/peers.rs
+++ b/heronslip/src/core/peers.rs
@@ -26,7 +26,7 @@
 
     /// Gives an attempt up, at whichever address it is out.
     pub fn cancel(&mut self, key: AttemptKey) {
-        self.transports().for_each(|t| t.cancel(key));
+        self.transports().for_each(|t| t.cancel_attempt(key));
     }
 
     /// What is known of it, once it is gone.
@@ -49,7 +49,7 @@
     }
 
     fn connections(&self) -> usize {
-        self.former.iter().chain([&self.transport]).map(|t| t.connections().0).sum()
+        self.former.iter().chain([&self.transport]).map(|t| t.connections().open).sum()
     }
 }
 
@@ -119,7 +119,7 @@
         idle.truncate(most);
         for (_, id) in &idle {
             if let Some(peer) = self.all.get_mut(id) {
-                peer.transport.close_idle();
+                peer.transport.close_longest_idle();
             }
         }
         self.open = self.open.saturating_sub(idle.len());
@@ -128,7 +128,7 @@
 
     /// Looks whether connections on which answers are awaited still carry any.
     pub fn pulse(&mut self) {
-        self.each_connected(|peer| peer.transports().for_each(|t| t.pulse()));
+        self.each_connected(|peer| peer.transports().for_each(|t| t.check_liveness()));
     }
 
     /// Counts the connections anew, without those that have ended since they were opened.
--- a/heronslip/src/front/kserve.rs
+++ b/heronslip/src/front/kserve.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Answer, Client, Message, Payload, Reading, Request};
 use crate::net::{timed_out, Occupant, Outbox, Permit, Socket};
 use crate::ring::Ring;
-use crate::worker::kserve::wrap_answer;
+use crate::worker::kserve::wrap_response;
 use heronslip_policy::json::{flag, number, object, parse, part, text};
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
@@ -27,7 +27,7 @@
         Answer::Served(Payload::Bytes(body)) => {
             // A worker of the platform's protocol: JSON passes unchanged, other bytes as one tensor.
             let whole = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-            let body = if whole.as_ref().and_then(object).is_some() { body } else { wrap_answer(&body) };
+            let body = if whole.as_ref().and_then(object).is_some() { body } else { wrap_response(&body) };
             response("200 OK", "", &body, close)
         }
         Answer::Refused { wait } => {
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -49,7 +49,7 @@
         reading: Arc::default(),
         closing: Arc::new(AtomicBool::new(false)),
     };
-    let reports = worker::Reports(queue.clone());
+    let reports = worker::ReportSender(queue.clone());
     let core = Core::new(config.settings, config.seed, limits.clone(), inbox, reports, shared);
     // The module would be half-changed after a panic: a front end without its core must not go on.
     std::thread::Builder::new()
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -1,5 +1,6 @@
-//! The platform's binary frames: attempts, orders and cancels over shared connections to one worker.
-use super::{Reports, Transport};
+//! The platform's binary protocol: frames for attempts, load commands and cancels over shared connections to one
+//! worker.
+use super::{ConnectionUsage, ReportSender, Transport};
 use crate::limits::Limits;
 use crate::messages::{AttemptKey, Payload, Report, Request};
 use crate::net::{connection_number, spawn, timed_out, Socket};
@@ -14,43 +15,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const FROM_US: u8 = 126;
-const FROM_WORKER: u8 = 127;
-const CALL: u8 = 2;
-const GIVE_UP: u8 = 3;
-const PROBE: u8 = 5;
-const HOLD: u8 = 6;
-const UNLOAD: u8 = 8;
-/// Answers to a probe.
-const TAKES_WORK: u8 = 206;
-const TAKES_NO_WORK: u8 = 207;
-const HEADER: usize = 16;
-const CHECK: usize = 4;
-/// A call's frame that has not begun to go by then is taken back: it would tell the worker of more time than is left.
-const BUDGET_TRUE: Duration = Duration::from_millis(100);
-/// Ids kept of the past: an answer crosses its give-up, or comes twice, within some calls of it.
-const PAST: usize = 256;
-
-/// One frame as bytes.
+/// First byte of every frame from a front end.
+const FRONT_END_MARK: u8 = 126;
+/// First byte of every frame from a worker.
+const WORKER_MARK: u8 = 127;
+const CODE_CALL: u8 = 2;
+const CODE_CANCEL: u8 = 3;
+const CODE_PROBE: u8 = 5;
+const CODE_LOAD: u8 = 6;
+const CODE_UNLOAD: u8 = 8;
+/// Reply to a probe: the worker accepts work.
+const CODE_ACCEPTING: u8 = 206;
+/// Reply to a probe: the worker does not accept work.
+const CODE_NOT_ACCEPTING: u8 = 207;
+const HEADER_BYTES: usize = 16;
+const CHECKSUM_BYTES: usize = 4;
+/// A call's frame of which no byte has been written by then is removed: it would tell the worker of more time than
+/// is left.
+const MAX_BUDGET_AGE: Duration = Duration::from_millis(100);
+/// Ids of ended calls that a connection remembers. A reply that crosses its cancel, or comes twice, arrives within
+/// fewer calls than this.
+const REMEMBERED_IDS: usize = 256;
+
+/// Encodes one frame.
 pub fn encode(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(HEADER + fields.len() + body.len() + CHECK);
-    frame.extend([FROM_US, code]);
+    let mut frame = Vec::with_capacity(HEADER_BYTES + fields.len() + body.len() + CHECKSUM_BYTES);
+    frame.extend([FRONT_END_MARK, code]);
     frame.extend((fields.len() as u16).to_be_bytes());
     frame.extend((body.len() as u32).to_be_bytes());
     frame.extend(id.to_be_bytes());
     frame.extend(fields.as_bytes());
     frame.extend(body);
-    let check = crc32fast::hash(&frame[HEADER..]);
-    frame.extend(check.to_be_bytes());
+    let checksum = crc32fast::hash(&frame[HEADER_BYTES..]);
+    frame.extend(checksum.to_be_bytes());
     frame
 }
 
-/// An answer read whole.
+/// A reply frame.
 #[derive(Debug, PartialEq)]
 pub struct Frame {
-    /// Its code.
+    /// The reply's code.
     pub code: u8,
-    /// The id it answers.
+    /// The id of the exchange that it replies to.
     pub id: u64,
     /// `name=value,name=value`.
     pub fields: String,
@@ -64,61 +70,62 @@
         self.fields.split(',').find_map(|pair| pair.split_once('=').filter(|p| p.0 == name)).map(|p| p.1)
     }
 
-    /// Requests that the worker reports to hold. The settings name the figure in the simulator's word, the
-    /// protocol's page in its own: workers have been seen to use the first.
+    /// The number of requests in flight that the worker reports. The settings call it `busy_reqs`, the protocol's
+    /// documentation `inflight`; workers use the first.
     pub fn inflight(&self) -> Option<f64> {
-        let figure = |pair: &str| {
+        let number = |pair: &str| {
             let (name, value) = pair.split_once(':')?;
             matches!(name, "busy_reqs" | "inflight").then(|| value.parse().ok())?
         };
-        self.field("use")?.split(';').find_map(figure)
+        self.field("use")?.split(';').find_map(number)
     }
 }
 
-/// Puts frames together from what a ring holds.
+/// Decodes frames from the bytes in a ring buffer.
 #[derive(Default)]
 pub struct Decoder {
-    got: Vec<u8>,
+    /// What has been read of the next frame.
+    partial: Vec<u8>,
 }
 
 impl Decoder {
-    /// Whether a frame has begun and is not whole.
-    pub fn midway(&self) -> bool {
-        !self.got.is_empty()
+    /// Whether a frame has been read in part.
+    pub fn has_partial_frame(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// The next whole frame, or what is wrong with the stream.
-    pub fn next(&mut self, ring: &mut Ring, most: usize) -> Result<Option<Frame>, String> {
-        if self.got.len() < HEADER {
-            ring.take(HEADER - self.got.len(), &mut self.got);
+    /// The next complete frame, or why the stream is invalid.
+    pub fn next_frame(&mut self, ring: &mut Ring, max_body: usize) -> Result<Option<Frame>, String> {
+        if self.partial.len() < HEADER_BYTES {
+            ring.take(HEADER_BYTES - self.partial.len(), &mut self.partial);
         }
-        let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.got[..] else { return Ok(None) };
+        let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.partial[..] else { return Ok(None) };
         let Some(id) = id.first_chunk::<8>() else { return Ok(None) };
-        if *mark != FROM_WORKER {
-            return Err(format!("mark {mark}"));
+        if *mark != WORKER_MARK {
+            return Err(format!("unexpected first byte {mark}"));
         }
         let (code, id) = (*code, u64::from_be_bytes(*id));
-        let fields = usize::from(u16::from_be_bytes([*f0, *f1]));
-        let body = u32::from_be_bytes([*b0, *b1, *b2, *b3]) as usize;
-        if body > most {
-            return Err(format!("length {body}"));
-        }
-        let all = HEADER + fields + body + CHECK;
-        ring.take(all - self.got.len(), &mut self.got);
-        if self.got.len() < all {
+        let fields_length = usize::from(u16::from_be_bytes([*f0, *f1]));
+        let body_length = u32::from_be_bytes([*b0, *b1, *b2, *b3]) as usize;
+        if body_length > max_body {
+            return Err(format!("body of {body_length} bytes is too long"));
+        }
+        let frame_length = HEADER_BYTES + fields_length + body_length + CHECKSUM_BYTES;
+        ring.take(frame_length - self.partial.len(), &mut self.partial);
+        if self.partial.len() < frame_length {
             return Ok(None);
         }
-        let got = std::mem::take(&mut self.got);
-        let (content, check) = got[HEADER..].split_at(fields + body);
-        if crc32fast::hash(content).to_be_bytes() != *check {
-            return Err("check sum".to_owned());
+        let frame = std::mem::take(&mut self.partial);
+        let (content, checksum) = frame[HEADER_BYTES..].split_at(fields_length + body_length);
+        if crc32fast::hash(content).to_be_bytes() != *checksum {
+            return Err("checksum mismatch".to_owned());
         }
-        let fields_text = String::from_utf8_lossy(&content[..fields]).into_owned();
-        Ok(Some(Frame { code, id, fields: fields_text, body: content[fields..].to_vec() }))
+        let fields = String::from_utf8_lossy(&content[..fields_length]).into_owned();
+        Ok(Some(Frame { code, id, fields, body: content[fields_length..].to_vec() }))
     }
 }
 
-/// The outcome that an answer's code stands for.
+/// The outcome that a reply's code stands for.
 fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
         200 => Outcome::Ok,
@@ -126,217 +133,241 @@
         203 => Outcome::Full,
         204 => Outcome::Error,
         205 => Outcome::Moot,
-        TAKES_WORK => Outcome::Ok,
-        TAKES_NO_WORK => Outcome::Full,
+        CODE_ACCEPTING => Outcome::Ok,
+        CODE_NOT_ACCEPTING => Outcome::Full,
         _ => return None,
     })
 }
 
+/// What an exchange is for, and the number under which its end is reported.
 #[derive(Clone, Copy, PartialEq)]
-enum What {
+enum ExchangeKey {
     Attempt(AttemptKey),
-    Order(u64),
+    /// A load command or a copy query.
+    Load(u64),
     Probe(u64),
-    /// A question of the connection's own, whose answer shows that it still carries any.
-    Word,
+    /// A copy query that the connection sends by itself: a reply shows that the connection still works.
+    LivenessCheck,
 }
 
-impl What {
-    /// Whether answers of this code may come to it.
-    fn takes(self, code: u8) -> bool {
-        matches!(self, What::Probe(_)) == matches!(code, TAKES_WORK | TAKES_NO_WORK)
+impl ExchangeKey {
+    /// Whether a reply of this code fits the exchange.
+    fn accepts_code(self, code: u8) -> bool {
+        matches!(self, ExchangeKey::Probe(_)) == matches!(code, CODE_ACCEPTING | CODE_NOT_ACCEPTING)
     }
 }
 
-/// When the first byte of an exchange may still go.
+/// When the first byte of an exchange may still be written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Begin {
-    /// At any time: it is nothing new to the worker.
-    AnyTime,
-    /// As long as the worker is not known to drain, and before this where readiness is known for a time only.
+pub enum StartCondition {
+    /// At any time: the exchange gives the worker no new work.
+    Always,
+    /// Until the worker is known to drain, and before the deadline if its readiness is known for a limited time.
     WhileReady {
-        /// The end of that time.
-        until: Option<Instant>,
+        /// When the worker's readiness stops being known.
+        deadline: Option<Instant>,
     },
 }
 
-impl Begin {
-    fn is_over(self, retired: bool, now: Instant) -> bool {
+impl StartCondition {
+    fn has_expired(self, retired: bool, now: Instant) -> bool {
         match self {
-            Begin::AnyTime => false,
-            Begin::WhileReady { until } => retired || until.is_some_and(|until| now >= until),
+            StartCondition::Always => false,
+            StartCondition::WhileReady { deadline } => {
+                retired || deadline.is_some_and(|deadline| now >= deadline)
+            }
         }
     }
 
-    /// The same, and before this.
-    fn before(self, most: Option<Instant>) -> Self {
-        match (self, most) {
-            (Begin::WhileReady { until }, Some(most)) => {
-                Begin::WhileReady { until: Some(until.map_or(most, |until| until.min(most))) }
-            }
+    /// The condition with its deadline moved up to `limit`, if that is earlier.
+    fn with_limit(self, limit: Option<Instant>) -> Self {
+        match (self, limit) {
+            (StartCondition::WhileReady { deadline }, Some(limit)) => StartCondition::WhileReady {
+                deadline: Some(deadline.map_or(limit, |deadline| deadline.min(limit))),
+            },
             _ => self,
         }
     }
 }
 
-/// What an exchange sends first.
-enum Opening {
-    Frame(Vec<u8>),
-    /// A call, made into a frame when it is about to go: what it tells of the time left has to be true then.
+/// The frame that starts an exchange.
+enum FirstFrame {
+    Encoded(Vec<u8>),
+    /// A call. It is encoded just before it is written, so that the remaining time it tells the worker is right.
     Call {
         request: Arc<Request>,
-        until: Instant,
+        deadline: Instant,
     },
 }
 
-impl Opening {
-    /// The frame, and how long it may wait in the ring; nothing if its time is over.
-    fn frame(&self, now: Instant) -> Option<(Vec<u8>, Option<Instant>)> {
+impl FirstFrame {
+    /// The encoded frame, and until when its first byte may be written; nothing if the call's deadline has passed.
+    fn encode(&self, now: Instant) -> Option<(Vec<u8>, Option<Instant>)> {
         match self {
-            Opening::Frame(frame) => Some((frame.clone(), None)),
-            Opening::Call { request, until } => {
-                let left = until.checked_duration_since(now)?.as_micros() as Micros;
-                let fields = call_fields(request, left);
-                let frame = encode(CALL, request.wire_id, &fields, request.payload.bytes());
-                Some((frame, Some(now + BUDGET_TRUE)))
+            FirstFrame::Encoded(frame) => Some((frame.clone(), None)),
+            FirstFrame::Call { request, deadline } => {
+                let remaining = deadline.checked_duration_since(now)?.as_micros() as Micros;
+                let fields = call_fields(request, remaining);
+                let frame = encode(CODE_CALL, request.wire_id, &fields, request.payload.bytes());
+                Some((frame, Some(now + MAX_BUDGET_AGE)))
             }
         }
     }
 }
 
-/// What is to be written. Calls and orders to load wait for the connection, and may have to begin in time.
+/// A command to a connection's writer.
 enum Command {
-    Open {
-        what: What,
+    /// Starts an exchange, if its start condition still holds once the connection is open and has room.
+    Start {
+        key: ExchangeKey,
         id: u64,
         function: FunctionId,
-        opening: Opening,
-        begin: Begin,
+        first_frame: FirstFrame,
+        condition: StartCondition,
     },
-    Cancel(What),
-    Plain(Vec<u8>),
-    /// Ends the connection.
+    Cancel(ExchangeKey),
+    /// Writes a frame that gets no reply.
+    OneWay(Vec<u8>),
+    /// Closes the connection.
     Close,
 }
 
-/// An exchange of which at least a byte may be on its way: where in the stream its frame ends.
-struct Exchange {
-    what: What,
-    end: u64,
-    since: Instant,
+/// An exchange whose frame is in the write queue or has been written.
+struct PendingExchange {
+    key: ExchangeKey,
+    /// Where in the stream of written bytes its frame ends.
+    frame_end: u64,
+    started: Instant,
     function: FunctionId,
 }
 
+/// The exchanges of one connection.
 #[derive(Default)]
-struct Table {
-    open: BTreeMap<u64, Exchange>,
-    /// Ids of calls given up or served here, the latest last: an answer to them may still come.
-    past: VecDeque<u64>,
+struct ExchangeTable {
+    pending: BTreeMap<u64, PendingExchange>,
+    /// Ids of calls that were cancelled or served on this connection, oldest first: another reply to them may come.
+    ended_ids: VecDeque<u64>,
     broken: bool,
-    /// When an answer was last read here.
-    heard: Option<Instant>,
+    /// When the last reply was read.
+    last_reply: Option<Instant>,
 }
 
-impl Table {
-    /// Whether an answer under this id would be taken for another exchange's. Ids of orders are never used again.
-    fn knows(&self, id: u64) -> bool {
-        self.open.contains_key(&id) || self.past.contains(&id)
+impl ExchangeTable {
+    /// Whether a reply under this id could belong to another exchange. The ids of load commands, copy queries and
+    /// probes are never reused.
+    fn is_id_in_use(&self, id: u64) -> bool {
+        self.pending.contains_key(&id) || self.ended_ids.contains(&id)
     }
 
-    fn leave(&mut self, id: u64) {
-        if self.past.len() >= PAST {
-            self.past.pop_front();
+    fn remember_ended(&mut self, id: u64) {
+        if self.ended_ids.len() >= REMEMBERED_IDS {
+            self.ended_ids.pop_front();
         }
-        self.past.push_back(id);
+        self.ended_ids.push_back(id);
     }
 }
 
-/// What the core's side, the writer and the reader of one connection share.
+/// The state that the transport, the writer and the reader of one connection share.
 #[derive(Default)]
-struct State {
-    /// Exchanges handed to this connection and not ended.
-    load: AtomicUsize,
+struct ConnectionState {
+    /// Exchanges that were given to this connection and have not ended.
+    pending: AtomicUsize,
     broken: AtomicBool,
     retired: AtomicBool,
-    written: AtomicU64,
-    table: Mutex<Table>,
+    bytes_written: AtomicU64,
+    exchanges: Mutex<ExchangeTable>,
 }
 
-struct Link {
+/// The transport's handle of one connection. Dropping it lets the writer close the connection.
+struct Connection {
     commands: Sender<Command>,
-    state: Arc<State>,
-    used: Instant,
-    /// When it was asked for a word that has not come.
-    asked: Option<Instant>,
+    state: Arc<ConnectionState>,
+    last_used: Instant,
+    /// When a liveness check was sent that has had no reply.
+    check_sent: Option<Instant>,
 }
 
 /// The transport to one worker.
-pub struct Frames {
+pub struct FrameTransport {
     address: SocketAddr,
     limits: Arc<Limits>,
-    reports: Reports,
-    links: Vec<Link>,
+    reports: ReportSender,
+    connections: Vec<Connection>,
 }
 
-impl Frames {
-    /// No connection is opened before it is needed.
-    pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: Reports) -> Self {
-        Frames { address, limits, reports, links: Vec::new() }
+impl FrameTransport {
+    /// Creates a transport. Connections are opened when they are needed.
+    pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: ReportSender) -> Self {
+        FrameTransport { address, limits, reports, connections: Vec::new() }
     }
 
-    /// Where a connection with room stands.
-    fn usable(&self) -> Option<usize> {
+    /// Index of a connection that can take another exchange.
+    fn connection_with_room(&self) -> Option<usize> {
         let streams = self.limits.streams;
-        self.links.iter().position(|l| {
-            let state = &l.state;
+        self.connections.iter().position(|c| {
+            let state = &c.state;
             !state.broken.load(Ordering::Acquire)
                 && !state.retired.load(Ordering::Acquire)
-                && state.load.load(Ordering::Acquire) < streams
+                && state.pending.load(Ordering::Acquire) < streams
         })
     }
 
-    /// The connection without an exchange that was used least recently.
-    fn idle(&self) -> Option<usize> {
-        let open = |l: &Link| !l.state.broken.load(Ordering::Acquire);
-        let idle = |l: &Link| open(l) && l.state.load.load(Ordering::Acquire) == 0;
-        (0..self.links.len()).filter(|&at| idle(&self.links[at])).min_by_key(|&at| self.links[at].used)
+    /// Index of the idle connection that was used least recently.
+    fn longest_idle(&self) -> Option<usize> {
+        let open = |c: &Connection| !c.state.broken.load(Ordering::Acquire);
+        let idle = |c: &Connection| open(c) && c.state.pending.load(Ordering::Acquire) == 0;
+        (0..self.connections.len())
+            .filter(|&index| idle(&self.connections[index]))
+            .min_by_key(|&index| self.connections[index].last_used)
     }
 
-    /// A connection with room, a new one if need be.
-    fn link(&mut self) -> &mut Link {
-        let at = self.usable().unwrap_or_else(|| {
+    /// A connection that can take another exchange; opens one if there is none.
+    fn connection(&mut self) -> &mut Connection {
+        let index = self.connection_with_room().unwrap_or_else(|| {
             let (commands, queue) = channel();
-            let state = Arc::new(State::default());
+            let state = Arc::new(ConnectionState::default());
             let (address, limits) = (self.address, self.limits.clone());
-            let (reports, of) = (self.reports.clone(), state.clone());
-            let started = spawn(self.limits.stack, move || Writer::run(address, queue, of, limits, reports));
+            let (reports, writer_state) = (self.reports.clone(), state.clone());
+            let started = spawn(self.limits.stack, move || {
+                Writer::run(address, queue, writer_state, limits, reports);
+            });
             if let Err(e) = started {
-                note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
+                // The core's timers end what was queued.
+                note!("worker {address}: could not start a connection: {e}; its exchanges will time out");
             }
-            self.links.push(Link { commands, state, used: Instant::now(), asked: None });
-            self.links.len() - 1
+            self.connections.push(Connection {
+                commands,
+                state,
+                last_used: Instant::now(),
+                check_sent: None,
+            });
+            self.connections.len() - 1
         });
-        self.links[at].used = Instant::now();
-        &mut self.links[at]
+        self.connections[index].last_used = Instant::now();
+        &mut self.connections[index]
     }
 
-    fn give_up(&self, what: What) {
-        // Which connection carries it is known to its writer only; the others pass over it.
-        for link in self.links.iter().filter(|l| !l.state.broken.load(Ordering::Acquire)) {
-            let _ = link.commands.send(Command::Cancel(what));
+    fn cancel(&self, key: ExchangeKey) {
+        // Only the writer knows whether its connection carries the exchange; the others ignore the command.
+        for connection in self.connections.iter().filter(|c| !c.state.broken.load(Ordering::Acquire)) {
+            let _ = connection.commands.send(Command::Cancel(key));
         }
     }
 
-    fn open(&mut self, what: What, id: u64, function: FunctionId, begin: Begin, opening: Opening) {
-        let link = self.link();
-        link.state.load.fetch_add(1, Ordering::AcqRel);
-        let _ = link.commands.send(Command::Open { what, id, function, opening, begin });
-        // its timer ends it at last
+    fn start(
+        &mut self, key: ExchangeKey, id: u64, function: FunctionId, condition: StartCondition,
+        first_frame: FirstFrame,
+    ) {
+        let connection = self.connection();
+        connection.state.pending.fetch_add(1, Ordering::AcqRel);
+        // If the writer has ended, the core's timer ends the exchange.
+        let _ = connection.commands.send(Command::Start { key, id, function, first_frame, condition });
     }
 }
 
-fn hold(id: u64, function: FunctionId, copies: u32) -> Vec<u8> {
-    encode(HOLD, id, &format!("path={function:016x},slots_up={copies}"), &[])
+/// A load command; with 0 copies, a copy query.
+fn load_frame(id: u64, function: FunctionId, copies: u32) -> Vec<u8> {
+    encode(CODE_LOAD, id, &format!("path={function:016x},slots_up={copies}"), &[])
 }
 
 /// The fields of a call.
@@ -350,95 +381,114 @@
     fields
 }
 
-impl Transport for Frames {
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, until: Option<Instant>) {
-        let over = Instant::now() + Duration::from_micros(budget);
-        let opening = Opening::Call { request: request.clone(), until: over };
-        let begin = Begin::WhileReady { until };
-        self.open(What::Attempt(key), request.wire_id, request.function, begin, opening);
+impl Transport for FrameTransport {
+    fn send_attempt(
+        &mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, start_deadline: Option<Instant>,
+    ) {
+        let deadline = Instant::now() + Duration::from_micros(budget);
+        let first_frame = FirstFrame::Call { request: request.clone(), deadline };
+        let condition = StartCondition::WhileReady { deadline: start_deadline };
+        self.start(ExchangeKey::Attempt(key), request.wire_id, request.function, condition, first_frame);
     }
 
-    fn cancel(&mut self, key: AttemptKey) {
-        self.give_up(What::Attempt(key));
+    fn cancel_attempt(&mut self, key: AttemptKey) {
+        self.cancel(ExchangeKey::Attempt(key));
     }
 
-    fn lapse(&mut self, order: u64) {
-        self.give_up(What::Order(order));
-        self.give_up(What::Probe(order));
+    fn abandon(&mut self, command: u64) {
+        self.cancel(ExchangeKey::Load(command));
+        self.cancel(ExchangeKey::Probe(command));
     }
 
     fn is_idle(&self) -> bool {
-        self.links.is_empty()
+        self.connections.is_empty()
     }
 
-    fn connections(&self) -> (usize, bool) {
-        let open = |l: &&Link| !l.state.broken.load(Ordering::Acquire);
-        (self.links.iter().filter(open).count(), self.usable().is_none())
+    fn connections(&self) -> ConnectionUsage {
+        let is_open = |c: &&Connection| !c.state.broken.load(Ordering::Acquire);
+        let open = self.connections.iter().filter(is_open).count();
+        ConnectionUsage { open, needs_new: self.connection_with_room().is_none() }
     }
 
     fn idle_since(&self) -> Option<Instant> {
-        self.idle().map(|at| self.links[at].used)
+        self.longest_idle().map(|index| self.connections[index].last_used)
     }
 
-    fn close_idle(&mut self) {
-        if let Some(at) = self.idle() {
-            self.links.swap_remove(at); // without its sender the writer closes once it has written all
+    fn close_longest_idle(&mut self) {
+        if let Some(index) = self.longest_idle() {
+            // Without its sender the writer closes the connection once it has written everything.
+            self.connections.swap_remove(index);
         }
     }
 
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32, until: Option<Instant>) {
-        // Orders' ids come from the far end of the range, away from chance: clients draw theirs at random.
-        let id = u64::MAX - order;
-        let frame = hold(id, function, copies);
-        let begin = if copies > 0 { Begin::WhileReady { until } } else { Begin::AnyTime };
-        self.open(What::Order(order), id, function, begin, Opening::Frame(frame));
+    fn send_load(
+        &mut self, command: u64, function: FunctionId, copies: u32, start_deadline: Option<Instant>,
+    ) {
+        // Counting down from the largest id keeps these ids apart from the random ones that clients choose.
+        let id = u64::MAX - command;
+        let frame = load_frame(id, function, copies);
+        let condition = if copies > 0 {
+            StartCondition::WhileReady { deadline: start_deadline }
+        } else {
+            StartCondition::Always
+        };
+        self.start(ExchangeKey::Load(command), id, function, condition, FirstFrame::Encoded(frame));
     }
 
-    fn probe(&mut self, probe: u64) {
+    fn send_probe(&mut self, probe: u64) {
         let id = u64::MAX - probe;
-        let frame = encode(PROBE, id, "", &[]);
-        self.open(What::Probe(probe), id, 0, Begin::AnyTime, Opening::Frame(frame));
+        let frame = encode(CODE_PROBE, id, "", &[]);
+        self.start(ExchangeKey::Probe(probe), id, 0, StartCondition::Always, FirstFrame::Encoded(frame));
     }
 
     fn unload(&mut self, function: FunctionId) {
-        let frame = encode(UNLOAD, function, "", &[]);
-        let _ = self.link().commands.send(Command::Plain(frame)); // owed no answer
+        let frame = encode(CODE_UNLOAD, function, "", &[]);
+        let _ = self.connection().commands.send(Command::OneWay(frame)); // nothing waits for it
     }
 
     fn retire(&mut self) {
-        self.links.iter().for_each(|l| l.state.retired.store(true, Ordering::Release));
+        self.connections.iter().for_each(|c| c.state.retired.store(true, Ordering::Release));
     }
 
-    /// Guards calls from a connection that stays open and carries nothing any more: what is open there would
-    /// wait for its full time, and new calls would join it. A question of no effect shows whether it lives.
-    fn pulse(&mut self) {
+    /// Guards calls against a connection that stays open but delivers nothing any more: its pending calls would wait
+    /// for their whole budget, and new calls would join them. A copy query, which changes nothing at the worker,
+    /// shows whether the connection works.
+    fn check_liveness(&mut self) {
         let limits = self.limits.clone();
-        for link in self.links.iter_mut().filter(|l| !l.state.broken.load(Ordering::Acquire)) {
-            let Ok(table) = link.state.table.lock() else { continue };
-            // A probe names no function that a question could be about, and ends by its own short time.
-            let open = || table.open.values().filter(|e| !matches!(e.what, What::Word | What::Probe(_)));
-            let oldest = open().min_by_key(|e| e.since).map(|e| (e.since, e.function));
-            let heard = table.heard;
-            let new = open().any(|e| heard.is_none_or(|h| e.since > h));
+        for connection in self.connections.iter_mut().filter(|c| !c.state.broken.load(Ordering::Acquire)) {
+            let Ok(table) = connection.state.exchanges.lock() else { continue };
+            // A probe names no function to query, and its own timeout is short.
+            let pending = || {
+                let unchecked = |e: &&PendingExchange| {
+                    !matches!(e.key, ExchangeKey::LivenessCheck | ExchangeKey::Probe(_))
+                };
+                table.pending.values().filter(unchecked)
+            };
+            let oldest = pending().min_by_key(|e| e.started).map(|e| (e.started, e.function));
+            let last_reply = table.last_reply;
+            let started_since = pending().any(|e| last_reply.is_none_or(|reply| e.started > reply));
             drop(table);
-            match (link.asked, oldest) {
-                (Some(asked), _) if heard.is_some_and(|h| h >= asked) => link.asked = None,
-                (Some(asked), _) if asked.elapsed() > limits.link_answer => {
-                    note!("worker {}: connection closed: no word from it", self.address);
-                    link.state.retired.store(true, Ordering::Release);
-                    let _ = link.commands.send(Command::Close);
+            match (connection.check_sent, oldest) {
+                (Some(sent), _) if last_reply.is_some_and(|reply| reply >= sent) => {
+                    connection.check_sent = None;
+                }
+                (Some(sent), _) if sent.elapsed() > limits.link_answer => {
+                    note!("worker {}: closing a connection: no reply to a liveness check", self.address);
+                    connection.state.retired.store(true, Ordering::Release);
+                    let _ = connection.commands.send(Command::Close);
                 }
-                (None, Some((since, function))) => {
-                    let quiet = heard.map_or(since, |h| h.max(since)).elapsed();
-                    // Asked less and less often while only a load is waited for.
-                    let waited = if new { Duration::ZERO } else { since.elapsed() / 2 };
+                (None, Some((started, function))) => {
+                    let quiet = last_reply.map_or(started, |reply| reply.max(started)).elapsed();
+                    // While only old exchanges (loads) are pending, checks become less and less frequent.
+                    let waited = if started_since { Duration::ZERO } else { started.elapsed() / 2 };
                     if quiet > limits.link_quiet.max(waited) {
-                        let (id, what) = (u64::MAX / 2 - connection_number(), What::Word);
-                        link.state.load.fetch_add(1, Ordering::AcqRel);
-                        let opening = Opening::Frame(hold(id, function, 0));
-                        let begin = Begin::AnyTime;
-                        let _ = link.commands.send(Command::Open { what, id, function, opening, begin });
-                        link.asked = Some(Instant::now());
+                        let (id, key) = (u64::MAX / 2 - connection_number(), ExchangeKey::LivenessCheck);
+                        connection.state.pending.fetch_add(1, Ordering::AcqRel);
+                        let first_frame = FirstFrame::Encoded(load_frame(id, function, 0));
+                        let condition = StartCondition::Always;
+                        let command = Command::Start { key, id, function, first_frame, condition };
+                        let _ = connection.commands.send(command);
+                        connection.check_sent = Some(Instant::now());
                     }
                 }
                 _ => {}
@@ -447,54 +497,55 @@
     }
 
     fn sweep(&mut self) {
-        let idle = self.limits.worker_idle;
-        // Dropping the sender lets the writer close. Guards against a send that crosses the worker's own close.
-        self.links.retain(|l| {
-            let quiet = l.state.load.load(Ordering::Acquire) == 0;
-            let old = l.used.elapsed() > idle || l.state.retired.load(Ordering::Acquire);
-            !(l.state.broken.load(Ordering::Acquire) || quiet && old)
+        let max_idle = self.limits.worker_idle;
+        // Dropping the sender lets the writer close the connection. Closing idle connections before the worker does
+        // keeps an attempt from crossing the worker's close.
+        self.connections.retain(|c| {
+            let idle = c.state.pending.load(Ordering::Acquire) == 0;
+            let expired = c.last_used.elapsed() > max_idle || c.state.retired.load(Ordering::Acquire);
+            !(c.state.broken.load(Ordering::Acquire) || idle && expired)
         });
     }
 }
 
-/// Frames that wait in the ring for the socket. All bytes that are ever put in are counted as one stream.
-pub struct Outgoing {
+/// Frames that wait in the ring buffer for the socket. Positions count bytes from the start of the connection.
+pub struct WriteQueue {
     ring: Ring,
-    frames: VecDeque<Outbound>,
-    /// Where in the stream the next byte that is written stands.
+    frames: VecDeque<QueuedFrame>,
+    /// Position of the next byte that is written.
     written: u64,
-    /// Where the next frame will begin.
+    /// Position at which the next frame will start.
     end: u64,
 }
 
-/// A frame in the ring.
-struct Outbound {
-    begin: u64,
+/// A frame in the ring buffer.
+struct QueuedFrame {
+    start: u64,
     end: u64,
-    /// The exchange that it opens, and when it may still begin.
-    opens: Option<(u64, Begin)>,
+    /// The id of the exchange that it starts, and until when it may start.
+    starts: Option<(u64, StartCondition)>,
 }
 
-impl Outbound {
-    /// Whether it may not go any more, as none of its bytes has left.
-    fn is_over(&self, written: u64, retired: bool, now: Instant) -> bool {
-        self.begin >= written && self.opens.is_some_and(|(_, begin)| begin.is_over(retired, now))
+impl QueuedFrame {
+    /// Whether no byte of it has been written and its start condition no longer holds.
+    fn has_expired(&self, written: u64, retired: bool, now: Instant) -> bool {
+        self.start >= written && self.starts.is_some_and(|(_, condition)| condition.has_expired(retired, now))
     }
 }
 
-/// What was taken back of the frames in the ring.
+/// The result of removing frames from a [`WriteQueue`].
 #[derive(Debug, Default, PartialEq)]
-pub struct Withheld {
-    /// The exchanges whose frames were taken back.
+pub struct RemovedFrames {
+    /// Ids of the exchanges whose frames were removed.
     pub ids: Vec<u64>,
-    /// Exchanges whose frames end elsewhere in the stream now, and where.
+    /// Ids of the exchanges whose frames now end at an earlier position of the stream, and that position.
     pub moved: Vec<(u64, u64)>,
 }
 
-impl Outgoing {
-    /// Nothing waits in a ring of so many bytes.
-    pub fn new(ring: usize) -> Self {
-        Outgoing { ring: Ring::new(ring), frames: VecDeque::new(), written: 0, end: 0 }
+impl WriteQueue {
+    /// An empty queue over a ring buffer of this many bytes.
+    pub fn new(ring_bytes: usize) -> Self {
+        WriteQueue { ring: Ring::new(ring_bytes), frames: VecDeque::new(), written: 0, end: 0 }
     }
 
     /// Bytes that still fit.
@@ -502,27 +553,27 @@
         self.ring.free()
     }
 
-    /// Whether nothing waits.
+    /// Whether all bytes have been written.
     pub fn is_empty(&self) -> bool {
         self.ring.is_empty()
     }
 
-    /// The bytes to be written next.
+    /// The bytes to write next.
     pub fn front(&self) -> &[u8] {
         self.ring.front()
     }
 
-    /// Puts a frame in that fits; `opens` names the exchange it opens, and when that may still begin. Tells where in
-    /// the stream it ends.
-    pub fn push(&mut self, frame: &[u8], opens: Option<(u64, Begin)>) -> u64 {
-        let begin = self.end;
+    /// Appends a frame, for which there must be room, and returns the position of its end. `starts` names the
+    /// exchange that the frame starts, and until when it may start.
+    pub fn push(&mut self, frame: &[u8], starts: Option<(u64, StartCondition)>) -> u64 {
+        let start = self.end;
         self.end += self.ring.push(frame) as u64;
-        self.frames.push_back(Outbound { begin, end: self.end, opens });
+        self.frames.push_back(QueuedFrame { start, end: self.end, starts });
         self.end
     }
 
-    /// So many bytes have left; tells how many have in all.
-    pub fn wrote(&mut self, bytes: usize) -> u64 {
+    /// Records that this many bytes have been written, and returns how many have been in all.
+    pub fn consume(&mut self, bytes: usize) -> u64 {
         self.ring.consume(bytes);
         self.written += bytes as u64;
         while self.frames.front().is_some_and(|f| f.end <= self.written) {
@@ -531,105 +582,108 @@
         self.written
     }
 
-    /// Takes back what may not go any more, as long as none of its bytes has left; `retired` tells that the worker
-    /// drains. All else stays: what an order to give up meant would otherwise be out still, beside the attempt that
-    /// follows it.
-    pub fn withhold(&mut self, retired: bool, now: Instant) -> Withheld {
-        if !self.frames.iter().any(|frame| frame.is_over(self.written, retired, now)) {
-            return Withheld::default();
+    /// Removes frames of which no byte has been written and whose start condition no longer holds; `retired` tells
+    /// whether the worker drains. All other frames stay, cancels among them: an attempt whose cancel was lost would
+    /// still run beside the one that replaces it.
+    pub fn remove_expired(&mut self, retired: bool, now: Instant) -> RemovedFrames {
+        if !self.frames.iter().any(|frame| frame.has_expired(self.written, retired, now)) {
+            return RemovedFrames::default();
         }
         let mut bytes = Vec::new();
         self.ring.take(usize::MAX, &mut bytes);
-        let (mut withheld, start) = (Withheld::default(), self.written);
+        let (mut removed, written) = (RemovedFrames::default(), self.written);
         self.end = self.written;
         for mut frame in std::mem::take(&mut self.frames) {
-            let begun = frame.begin < start;
-            let over = frame.is_over(start, retired, now);
-            match frame.opens {
-                Some((id, _)) if over => withheld.ids.push(id),
-                opens => {
-                    let from = frame.begin.max(start);
-                    let content = &bytes[(from - start) as usize..(frame.end - start) as usize];
+            let partly_written = frame.start < written;
+            let expired = frame.has_expired(written, retired, now);
+            match frame.starts {
+                Some((id, _)) if expired => removed.ids.push(id),
+                starts => {
+                    let from = frame.start.max(written);
+                    let content = &bytes[(from - written) as usize..(frame.end - written) as usize];
                     let end = self.end + self.ring.push(content) as u64;
-                    if let Some((id, _)) = opens.filter(|_| end != frame.end) {
-                        withheld.moved.push((id, end));
+                    if let Some((id, _)) = starts.filter(|_| end != frame.end) {
+                        removed.moved.push((id, end));
                     }
-                    (frame.begin, frame.end) = (if begun { frame.begin } else { self.end }, end);
+                    (frame.start, frame.end) = (if partly_written { frame.start } else { self.end }, end);
                     self.end = end;
                     self.frames.push_back(frame);
                 }
             }
         }
-        withheld
+        removed
     }
 }
 
-/// The writing coroutine of one connection.
+/// The coroutine that writes one connection.
 struct Writer {
-    state: Arc<State>,
-    reports: Reports,
+    state: Arc<ConnectionState>,
+    reports: ReportSender,
     limits: Arc<Limits>,
     waiting: VecDeque<Command>,
-    outgoing: Outgoing,
+    queue: WriteQueue,
 }
 
-fn report(reports: &Reports, state: &State, what: What, outcome: Outcome) {
-    state.load.fetch_sub(1, Ordering::AcqRel);
-    report_open(reports, what, outcome);
+/// Ends an exchange and reports its outcome.
+fn end_exchange(reports: &ReportSender, state: &ConnectionState, key: ExchangeKey, outcome: Outcome) {
+    state.pending.fetch_sub(1, Ordering::AcqRel);
+    report_end(reports, key, outcome);
 }
 
-/// Reports the end of an exchange that its connection does not count any more.
-fn report_open(reports: &Reports, what: What, outcome: Outcome) {
-    match what {
-        What::Attempt(key) => reports.ended(key, Report::bare(outcome)),
-        What::Order(order) => reports.ordered(order, outcome, 0),
-        What::Probe(probe) => reports.probed(probe, outcome, None),
-        What::Word => {}
+/// Reports the end of an exchange that its connection no longer counts.
+fn report_end(reports: &ReportSender, key: ExchangeKey, outcome: Outcome) {
+    match key {
+        ExchangeKey::Attempt(key) => reports.attempt_ended(key, Report::bare(outcome)),
+        ExchangeKey::Load(command) => reports.load_ended(command, outcome, 0),
+        ExchangeKey::Probe(probe) => reports.probe_ended(probe, outcome, None),
+        ExchangeKey::LivenessCheck => {}
     }
 }
 
-/// Ends everything open on a connection: what was not wholly written proves that nothing ran.
-fn break_up(state: &State, reports: &Reports) {
+/// Ends everything that is pending on a connection. A frame that was not written completely proves that nothing ran.
+fn fail_connection(state: &ConnectionState, reports: &ReportSender) {
     state.broken.store(true, Ordering::Release);
-    let open = {
-        let Ok(mut table) = state.table.lock() else { return };
+    let pending = {
+        let Ok(mut table) = state.exchanges.lock() else { return };
         table.broken = true;
-        std::mem::take(&mut table.open)
+        std::mem::take(&mut table.pending)
     };
-    let written = state.written.load(Ordering::Acquire);
-    for exchange in open.into_values() {
-        let outcome = if exchange.end <= written { Outcome::Reset } else { Outcome::ConnectFailed };
-        report(reports, state, exchange.what, outcome);
+    let written = state.bytes_written.load(Ordering::Acquire);
+    for exchange in pending.into_values() {
+        let outcome = if exchange.frame_end <= written { Outcome::Reset } else { Outcome::ConnectFailed };
+        end_exchange(reports, state, exchange.key, outcome);
     }
 }
 
 impl Writer {
     fn run(
-        address: SocketAddr, queue: Receiver<Command>, state: Arc<State>, limits: Arc<Limits>,
-        reports: Reports,
+        address: SocketAddr, commands: Receiver<Command>, state: Arc<ConnectionState>, limits: Arc<Limits>,
+        reports: ReportSender,
     ) {
-        let (waiting, outgoing) = (VecDeque::new(), Outgoing::new(limits.worker_ring));
-        let mut writer = Writer { state, reports, limits, waiting, outgoing };
-        if let Err(why) = writer.connection(address, &queue) {
-            note!("worker {address}: connection ended: {why}");
-        }
-        break_up(&writer.state, &writer.reports);
-        // What is or comes still in the queue was never written. The core lets go of the queue at its sweep.
+        let (waiting, queue) = (VecDeque::new(), WriteQueue::new(limits.worker_ring));
+        let mut writer = Writer { state, reports, limits, waiting, queue };
+        if let Err(why) = writer.connection(address, &commands) {
+            note!("worker {address}: connection failed: {why}");
+        }
+        fail_connection(&writer.state, &writer.reports);
+        // Commands that are still queued, or are queued until the transport drops its sender at a sweep, were never
+        // written.
         for command in std::mem::take(&mut writer.waiting) {
-            writer.refuse(command);
+            writer.reject(command);
         }
-        while let Ok(command) = queue.recv() {
-            writer.refuse(command);
+        while let Ok(command) = commands.recv() {
+            writer.reject(command);
         }
     }
 
-    fn refuse(&self, command: Command) {
-        if let Command::Open { what, .. } = command {
-            report(&self.reports, &self.state, what, Outcome::ConnectFailed);
+    fn reject(&self, command: Command) {
+        if let Command::Start { key, .. } = command {
+            end_exchange(&self.reports, &self.state, key, Outcome::ConnectFailed);
         }
     }
 
-    fn connection(&mut self, address: SocketAddr, queue: &Receiver<Command>) -> Result<(), String> {
+    /// Opens the connection, starts its reader and writes until the transport drops the connection or it fails.
+    fn connection(&mut self, address: SocketAddr, commands: &Receiver<Command>) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
         let stream = TcpStream::connect_timeout(&address, self.limits.connect).map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
@@ -637,49 +691,49 @@
         let reader = stream.clone();
         let (state, reports, limits) = (self.state.clone(), self.reports.clone(), self.limits.clone());
         spawn(self.limits.stack, move || {
-            if let Err(why) = read_answers(reader, &state, &reports, &limits) {
-                note!("worker {address}: connection closed: {why}");
+            if let Err(why) = read_replies(reader, &state, &reports, &limits) {
+                note!("worker {address}: closed the connection while reading replies: {why}");
             }
-            break_up(&state, &reports);
+            fail_connection(&state, &reports);
         })
         .map_err(text)?;
         let mut end = Ok(());
         while end.is_ok() {
-            // Nothing is left to write here: wait for more. The core lets go of idle connections.
-            let Ok(command) = queue.recv() else { break };
+            // Everything has been written. The receive fails once the transport drops the idle connection.
+            let Ok(command) = commands.recv() else { break };
             self.waiting.push_back(command);
-            end = self.write_all(&stream, queue);
+            end = self.write_all(&stream, commands);
         }
-        stream.close(); // the reader sees the end and leaves
+        stream.close(); // ends the reader
         end
     }
 
-    /// Writes until nothing waits.
-    fn write_all(&mut self, stream: &Socket, queue: &Receiver<Command>) -> Result<(), String> {
+    /// Writes until nothing is waiting.
+    fn write_all(&mut self, stream: &Socket, commands: &Receiver<Command>) -> Result<(), String> {
         let mut stalled = Duration::ZERO;
         loop {
-            while let Ok(command) = queue.try_recv() {
+            while let Ok(command) = commands.try_recv() {
                 self.waiting.push_back(command);
             }
             if self.waiting.iter().any(|c| matches!(c, Command::Close)) {
-                return Err("given up".to_owned());
+                return Err("closed after a liveness check had no reply".to_owned());
             }
             self.apply_cancels();
-            self.withhold();
-            self.fill()?;
-            if self.outgoing.is_empty() {
+            self.remove_expired();
+            self.fill_queue()?;
+            if self.queue.is_empty() {
                 return Ok(());
             }
-            match stream.write_within(self.outgoing.front(), self.limits.write_check) {
-                Ok(0) => return Err("closed".to_owned()),
+            match stream.write_within(self.queue.front(), self.limits.write_check) {
+                Ok(0) => return Err("the worker closed the connection".to_owned()),
                 Ok(n) => {
                     stalled = Duration::ZERO;
-                    self.state.written.store(self.outgoing.wrote(n), Ordering::Release);
+                    self.state.bytes_written.store(self.queue.consume(n), Ordering::Release);
                 }
                 Err(e) if timed_out(&e) => {
                     stalled += self.limits.write_check;
                     if stalled >= self.limits.write_stall {
-                        return Err("nothing could be written for long".to_owned());
+                        return Err("a write stalled for too long".to_owned());
                     }
                 }
                 Err(e) => return Err(e.to_string()),
@@ -687,63 +741,63 @@
         }
     }
 
-    /// Drops cancelled exchanges that still wait; those already begun are given up by a frame of their own.
+    /// Drops cancelled exchanges that still wait. Those that have started are cancelled by a frame of their own.
     fn apply_cancels(&mut self) {
-        let cancels: Vec<What> = self
+        let cancels: Vec<ExchangeKey> = self
             .waiting
             .iter()
-            .filter_map(|c| if let Command::Cancel(what) = c { Some(*what) } else { None })
+            .filter_map(|c| if let Command::Cancel(key) = c { Some(*key) } else { None })
             .collect();
-        for given_up in cancels {
+        for cancelled in cancels {
             let before = self.waiting.len();
-            self.waiting.retain(|c| !matches!(c, Command::Open { what, .. } if *what == given_up));
+            self.waiting.retain(|c| !matches!(c, Command::Start { key, .. } if *key == cancelled));
             if self.waiting.len() < before {
-                self.state.load.fetch_sub(1, Ordering::AcqRel);
+                self.state.pending.fetch_sub(1, Ordering::AcqRel);
             }
         }
     }
 
-    /// Takes back what waits and what lies unbegun in the ring and may not go any more: after a drain, or because its
-    /// time to begin is over.
-    fn withhold(&mut self) {
+    /// Ends exchanges of which no byte has been written and which may no longer start: because the worker drains, or
+    /// because their deadline has passed.
+    fn remove_expired(&mut self) {
         let (retired, now) = (self.state.retired.load(Ordering::Acquire), Instant::now());
         let (state, reports) = (&self.state, &self.reports);
         self.waiting.retain(|command| match command {
-            Command::Open { what, begin, .. } if begin.is_over(retired, now) => {
-                report(reports, state, *what, Outcome::Moot);
+            Command::Start { key, condition, .. } if condition.has_expired(retired, now) => {
+                end_exchange(reports, state, *key, Outcome::Moot);
                 false
             }
             _ => true,
         });
-        let withheld = self.outgoing.withhold(retired, now);
-        if withheld == Withheld::default() {
+        let removed = self.queue.remove_expired(retired, now);
+        if removed == RemovedFrames::default() {
             return;
         }
-        let Ok(mut table) = self.state.table.lock() else { return };
-        for (id, end) in withheld.moved {
-            if let Some(exchange) = table.open.get_mut(&id) {
-                exchange.end = end;
+        let Ok(mut table) = self.state.exchanges.lock() else { return };
+        for (id, end) in removed.moved {
+            if let Some(exchange) = table.pending.get_mut(&id) {
+                exchange.frame_end = end;
             }
         }
-        for id in withheld.ids {
-            if let Some(exchange) = table.open.remove(&id) {
-                report(&self.reports, &self.state, exchange.what, Outcome::Moot);
+        for id in removed.ids {
+            if let Some(exchange) = table.pending.remove(&id) {
+                end_exchange(&self.reports, &self.state, exchange.key, Outcome::Moot);
             }
         }
     }
 
-    /// Moves what waits into the ring, as far as whole frames fit.
-    fn fill(&mut self) -> Result<(), String> {
+    /// Moves waiting commands into the write queue while their frames fit.
+    fn fill_queue(&mut self) -> Result<(), String> {
         while let Some(command) = self.waiting.pop_front() {
-            let held_back = match command {
-                Command::Close => return Err("given up".to_owned()),
-                Command::Plain(ref frame) => self.put_plain(frame)?,
-                Command::Cancel(what) => self.put_cancel(what)?,
-                Command::Open { what, id, function, ref opening, begin } => {
-                    self.put_opening(what, id, function, opening, begin)?
+            let queue_full = match command {
+                Command::Close => return Err("closed after a liveness check had no reply".to_owned()),
+                Command::OneWay(ref frame) => self.push_one_way(frame)?,
+                Command::Cancel(key) => self.push_cancel(key)?,
+                Command::Start { key, id, function, ref first_frame, condition } => {
+                    self.push_start(key, id, function, first_frame, condition)?
                 }
             };
-            if held_back {
+            if queue_full {
                 self.waiting.push_front(command);
                 return Ok(());
             }
@@ -751,139 +805,150 @@
         Ok(())
     }
 
-    /// Whether a frame fits into the ring now; an error if it never will.
+    /// Whether a frame fits into the write queue now.
+    ///
+    /// # Errors
+    /// Fails if it is larger than the whole queue.
     fn fits(&self, frame: &[u8]) -> Result<bool, String> {
-        if frame.len() <= self.outgoing.free() {
+        if frame.len() <= self.queue.free() {
             return Ok(true);
         }
-        if self.outgoing.is_empty() {
-            return Err(format!("a frame of {} bytes is larger than the ring", frame.len()));
+        if self.queue.is_empty() {
+            return Err(format!("a frame of {} bytes is larger than the write buffer", frame.len()));
         }
         Ok(false)
     }
 
-    /// Puts a frame in that is owed no answer; true if there is no room for it yet.
-    fn put_plain(&mut self, frame: &[u8]) -> Result<bool, String> {
+    /// Queues a frame that gets no reply; true if there is no room for it yet.
+    fn push_one_way(&mut self, frame: &[u8]) -> Result<bool, String> {
         let fits = self.fits(frame)?;
         if fits {
-            self.outgoing.push(frame, None);
+            self.queue.push(frame, None);
         }
         Ok(!fits)
     }
 
-    /// Gives up what is out here; true if there is no room for the word of it yet. Orders stand, whether their
-    /// answers are awaited or not.
-    fn put_cancel(&mut self, what: What) -> Result<bool, String> {
-        if self.outgoing.free() < HEADER + CHECK {
+    /// Cancels an exchange of this connection; true if there is no room for the cancel's frame yet. Load commands
+    /// are not cancelled at the worker: only their replies are no longer awaited.
+    fn push_cancel(&mut self, key: ExchangeKey) -> Result<bool, String> {
+        if self.queue.free() < HEADER_BYTES + CHECKSUM_BYTES {
             return Ok(true);
         }
-        if let (Some(id), What::Attempt(_)) = (self.give_up(what), what) {
-            self.outgoing.push(&encode(GIVE_UP, id, "", &[]), None);
+        if let (Some(id), ExchangeKey::Attempt(_)) = (self.remove_exchange(key), key) {
+            self.queue.push(&encode(CODE_CANCEL, id, "", &[]), None);
         }
         Ok(false)
     }
 
-    /// Opens an exchange; true if there is no room for its frame yet.
-    fn put_opening(
-        &mut self, what: What, id: u64, function: FunctionId, opening: &Opening, begin: Begin,
+    /// Starts an exchange; true if there is no room for its frame yet.
+    fn push_start(
+        &mut self, key: ExchangeKey, id: u64, function: FunctionId, first_frame: &FirstFrame,
+        condition: StartCondition,
     ) -> Result<bool, String> {
         let now = Instant::now();
-        let Some((frame, most)) = opening.frame(now) else {
-            report(&self.reports, &self.state, what, Outcome::Moot);
+        let Some((frame, write_by)) = first_frame.encode(now) else {
+            end_exchange(&self.reports, &self.state, key, Outcome::Moot);
             return Ok(false);
         };
         if !self.fits(&frame)? {
             return Ok(true);
         }
-        let Ok(mut table) = self.state.table.lock() else { return Err("poisoned".to_owned()) };
-        if table.broken || table.knows(id) {
-            // Two exchanges under one id could not be told apart: the later one is not sent. That is no fault of the
-            // worker's.
+        let Ok(mut table) = self.state.exchanges.lock() else { return Err("poisoned".to_owned()) };
+        if table.broken || table.is_id_in_use(id) {
+            // Replies to two exchanges under one id could not be told apart, so the later one is not sent. That is
+            // no failure of the worker.
             let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::Moot };
             drop(table);
-            report(&self.reports, &self.state, what, outcome);
+            end_exchange(&self.reports, &self.state, key, outcome);
             return Ok(false);
         }
-        let end = self.outgoing.push(&frame, Some((id, begin.before(most))));
-        table.open.insert(id, Exchange { what, end, since: now, function });
+        let frame_end = self.queue.push(&frame, Some((id, condition.with_limit(write_by))));
+        table.pending.insert(id, PendingExchange { key, frame_end, started: now, function });
         Ok(false)
     }
 
-    /// Closes what is out here; its id if it was.
-    fn give_up(&self, what: What) -> Option<u64> {
-        let mut table = self.state.table.lock().ok()?;
-        let id = table.open.iter().find(|(_, e)| e.what == what).map(|(&id, _)| id)?;
-        table.open.remove(&id);
-        if matches!(what, What::Attempt(_)) {
-            table.leave(id);
+    /// Removes a pending exchange of this connection and returns its id.
+    fn remove_exchange(&self, key: ExchangeKey) -> Option<u64> {
+        let mut table = self.state.exchanges.lock().ok()?;
+        let id = table.pending.iter().find(|(_, e)| e.key == key).map(|(&id, _)| id)?;
+        table.pending.remove(&id);
+        if matches!(key, ExchangeKey::Attempt(_)) {
+            table.remember_ended(id);
         }
-        self.state.load.fetch_sub(1, Ordering::AcqRel);
+        self.state.pending.fetch_sub(1, Ordering::AcqRel);
         Some(id)
     }
 }
 
-/// Reads answers until the connection ends.
-fn read_answers(mut stream: Socket, state: &State, reports: &Reports, limits: &Limits) -> Result<(), String> {
+/// Reads replies until the connection ends.
+fn read_replies(
+    mut stream: Socket, state: &ConnectionState, reports: &ReportSender, limits: &Limits,
+) -> Result<(), String> {
     let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
     stream.set_read_timeout(limits.frame_stall).map_err(|e| e.to_string())?;
     let end = loop {
         match ring.fill(&mut stream) {
             Ok(0) => break Ok(()),
             Ok(_) => {}
-            // Guards against an answer that stops short: nothing more comes behind it.
-            Err(e) if timed_out(&e) && decoder.midway() => break Err("a frame stopped midway".to_owned()),
+            // Nothing can follow a frame that stops before its end.
+            Err(e) if timed_out(&e) && decoder.has_partial_frame() => {
+                break Err("a reply stopped before its end".to_owned());
+            }
             Err(e) if timed_out(&e) => continue,
             Err(e) => break Err(e.to_string()),
         }
-        match answers(&mut decoder, &mut ring, state, reports, limits.answer) {
+        match handle_replies(&mut decoder, &mut ring, state, reports, limits.answer) {
             Ok(()) => {}
-            // Guards against a stream that is out of step: nothing after this can be trusted.
-            Err(why) => break Err(format!("bad frame: {why}")),
+            // Frame boundaries are lost after an invalid frame, so nothing that follows it can be decoded.
+            Err(why) => break Err(format!("invalid frame: {why}")),
         }
     };
     stream.close();
     end
 }
 
-fn answers(
-    decoder: &mut Decoder, ring: &mut Ring, state: &State, reports: &Reports, most: usize,
+/// Handles the complete replies in the ring buffer.
+fn handle_replies(
+    decoder: &mut Decoder, ring: &mut Ring, state: &ConnectionState, reports: &ReportSender, max_body: usize,
 ) -> Result<(), String> {
-    while let Some(frame) = decoder.next(ring, most)? {
-        let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
+    while let Some(frame) = decoder.next_frame(ring, max_body)? {
+        let outcome = outcome(frame.code).ok_or_else(|| format!("unknown code {}", frame.code))?;
         let exchange = {
-            let mut table = state.table.lock().map_err(|_| "poisoned")?;
-            table.heard = Some(Instant::now());
-            let exchange = table.open.remove(&frame.id);
-            // An answer that ended without a run may be followed by a further attempt under its id here.
+            let mut table = state.exchanges.lock().map_err(|_| "poisoned")?;
+            table.last_reply = Some(Instant::now());
+            let exchange = table.pending.remove(&frame.id);
+            // After a reply that says that nothing ran, another attempt under the same id may follow here.
             if exchange.is_some() && outcome == Outcome::Ok {
-                table.leave(frame.id);
+                table.remember_ended(frame.id);
             }
             exchange
         };
-        // An answer to what has ended already comes late and is dropped.
+        // A reply to an exchange that has ended is late and is dropped.
         let Some(exchange) = exchange else { continue };
-        let fits = exchange.what.takes(frame.code);
-        state.load.fetch_sub(1, Ordering::AcqRel);
+        let code_fits = exchange.key.accepts_code(frame.code);
+        state.pending.fetch_sub(1, Ordering::AcqRel);
         let number = |name: &str| frame.field(name).and_then(|v| v.parse().ok());
-        if !fits {
-            report_open(reports, exchange.what, Outcome::Reset);
-            return Err(format!("code {} to another command", frame.code));
-        }
-        match exchange.what {
-            What::Order(order) => reports.ordered(order, outcome, number("slots_up").unwrap_or(0)),
-            What::Probe(probe) => reports.probed(probe, outcome, frame.inflight()),
-            What::Word => {}
-            What::Attempt(key) => {
+        if !code_fits {
+            report_end(reports, exchange.key, Outcome::Reset);
+            return Err(format!("code {} does not fit the request it replies to", frame.code));
+        }
+        match exchange.key {
+            ExchangeKey::Load(command) => {
+                reports.load_ended(command, outcome, number("slots_up").unwrap_or(0));
+            }
+            ExchangeKey::Probe(probe) => reports.probe_ended(probe, outcome, frame.inflight()),
+            ExchangeKey::LivenessCheck => {}
+            ExchangeKey::Attempt(key) => {
                 let warm = match frame.field("detail") {
                     Some("resident") => Some(true),
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full);
-                let crowd = if told { number("company") } else { None };
+                let reports_crowd = matches!(outcome, Outcome::Ok | Outcome::Full);
+                let crowd = if reports_crowd { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.ended(key, Report { outcome, warm, crowd, inflight, payload });
+                reports.attempt_ended(key, Report { outcome, warm, crowd, inflight, payload });
             }
         }
     }
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -1,6 +1,6 @@
-//! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Loads, questions
+//! KServe v2 over HTTP/1.1 to one worker. Each connection carries one exchange at a time. Load commands, copy queries
 //! and unloads use the model repository extension.
-use super::{Reports, Transport};
+use super::{ConnectionUsage, ReportSender, Transport};
 use crate::http::{Chunked, Coded, Head};
 use crate::limits::Limits;
 use crate::messages::{AttemptKey, Payload, Report, Request};
@@ -18,133 +18,158 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn map(fields: Vec<(&str, Value)>) -> Value {
+/// Larger counts in a reply of a worker are cut to this.
+const MAX_REPORTED_COUNT: u64 = 1 << 16;
+
+fn json_object(fields: Vec<(&str, Value)>) -> Value {
     Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect())
 }
 
-fn word(text: &str) -> Value {
+fn json_string(text: &str) -> Value {
     Value::String(text.to_owned())
 }
 
-fn items(values: Vec<Value>) -> Value {
+fn json_array(values: Vec<Value>) -> Value {
     Value::Array(values.into_iter().collect::<Array>())
 }
 
-/// Bytes as one BYTES tensor; base64 carries those that are no text, and the tensor says so.
-fn tensor(bytes: &[u8]) -> Value {
-    map(vec![
-        ("name", word("body")),
-        ("shape", items(vec![Value::Number(Number::U64(1))])),
-        ("datatype", word("BYTES")),
-        ("parameters", map(vec![("content_type", word("base64"))])),
-        ("data", items(vec![word(&STANDARD.encode(bytes))])),
+/// Bytes as one BYTES tensor. They are base64-encoded, as they need not be UTF-8; `content_type` says so.
+fn bytes_tensor(bytes: &[u8]) -> Value {
+    json_object(vec![
+        ("name", json_string("body")),
+        ("shape", json_array(vec![Value::Number(Number::U64(1))])),
+        ("datatype", json_string("BYTES")),
+        ("parameters", json_object(vec![("content_type", json_string("base64"))])),
+        ("data", json_array(vec![json_string(&STANDARD.encode(bytes))])),
     ])
 }
 
-/// The body of a v2 answer that carries these bytes.
-pub fn wrap_answer(bytes: &[u8]) -> Vec<u8> {
-    json::to_string(&map(vec![("outputs", items(vec![tensor(bytes)]))])).into_bytes()
+/// The body of a v2 inference response that carries these bytes.
+pub fn wrap_response(bytes: &[u8]) -> Vec<u8> {
+    json::to_string(&json_object(vec![("outputs", json_array(vec![bytes_tensor(bytes)]))])).into_bytes()
 }
 
-/// The body of a v2 call that carries a body of the platform's protocol.
-fn wrap_call(request: &Request, bytes: &[u8], budget: Micros) -> Vec<u8> {
-    let mut told = vec![
-        ("class", word(&request.class)),
-        ("tenant", word(&request.tenant)),
+/// The body of a v2 inference request that carries the body of a request of the platform's protocol.
+fn wrap_request(request: &Request, bytes: &[u8], budget: Micros) -> Vec<u8> {
+    let mut parameters = vec![
+        ("class", json_string(&request.class)),
+        ("tenant", json_string(&request.tenant)),
         ("wait_ms", Value::Number(Number::U64(budget / 1000))),
         ("retry", Value::Bool(request.retry)),
     ];
-    told.extend(request.token.as_deref().map(|t| ("token", word(t))));
-    let call = map(vec![
-        ("id", word(&format!("{:016x}", request.wire_id))),
-        ("parameters", map(told)),
-        ("inputs", items(vec![tensor(bytes)])),
+    parameters.extend(request.token.as_deref().map(|t| ("token", json_string(t))));
+    let body = json_object(vec![
+        ("id", json_string(&format!("{:016x}", request.wire_id))),
+        ("parameters", json_object(parameters)),
+        ("inputs", json_array(vec![bytes_tensor(bytes)])),
     ]);
-    json::to_string(&call).into_bytes()
+    json::to_string(&body).into_bytes()
 }
 
-/// The bytes of the first output tensor of a v2 answer.
-pub fn unwrap_answer(answer: &Object) -> Option<Vec<u8>> {
-    let output = list(answer, "outputs").first().and_then(object)?;
+/// The bytes of the first output tensor of a v2 inference response.
+pub fn unwrap_response(response: &Object) -> Option<Vec<u8>> {
+    let output = list(response, "outputs").first().and_then(object)?;
     let data = list(output, "data").first().and_then(as_text)?;
-    let coded = part(output, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
-    if coded {
+    let is_base64 = part(output, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+    if is_base64 {
         STANDARD.decode(data).ok()
     } else {
         Some(data.as_bytes().to_vec())
     }
 }
 
-enum What {
-    /// An attempt; whether its body is the platform's, so that the answer must be unwrapped.
-    Attempt(AttemptKey, bool),
-    /// An order to hold copies of this function, 0 to ask.
-    Order(u64, FunctionId, u32),
+/// What a job is for, and the number under which its end is reported.
+enum JobKind {
+    Attempt {
+        key: AttemptKey,
+        /// Whether the request came over the platform's protocol, so that its body is wrapped and the reply's body
+        /// must be unwrapped.
+        wrapped: bool,
+    },
+    /// A load command; with 0 copies, a copy query.
+    Load {
+        command: u64,
+        function: FunctionId,
+        copies: u32,
+    },
     Unload,
 }
 
-/// One exchange: its request as bytes, and how it is taken back.
+/// One HTTP exchange to carry out.
 struct Job {
-    what: What,
+    kind: JobKind,
+    /// The encoded HTTP request.
     bytes: Vec<u8>,
     cancelled: Arc<AtomicBool>,
-    /// Of which life of the worker this is; calls and loads of a past one are not written.
+    /// The transport's epoch when the job was queued.
     epoch: u64,
-    bound: bool,
-    /// A worker silent beyond this has its connection closed, so that no lane is lost to it.
-    until: Instant,
+    /// Whether the job gives the worker new work. Such a job is not written once its epoch has passed.
+    is_new_work: bool,
+    /// After this the connection is closed if the worker has not replied, so that a silent worker cannot keep
+    /// connections busy.
+    deadline: Instant,
 }
 
-/// What the core's side and the connections share.
+/// The state that the transport and its connections share.
 #[derive(Default)]
-struct State {
+struct SharedState {
+    /// Incremented each time the worker drains, restarts or is gone.
     epoch: AtomicU64,
-    /// Jobs handed over and not ended.
-    load: AtomicUsize,
-    lanes: AtomicUsize,
+    /// Jobs that were queued and have not ended.
+    pending: AtomicUsize,
+    connections: AtomicUsize,
 }
 
-/// The transport to one v2 worker.
-pub struct Kserve {
+/// The transport to one KServe v2 worker.
+pub struct KserveTransport {
     address: SocketAddr,
     limits: Arc<Limits>,
-    reports: Reports,
-    state: Arc<State>,
+    reports: ReportSender,
+    state: Arc<SharedState>,
     jobs: Sender<Job>,
     queue: Receiver<Job>,
-    out: Vec<(AttemptKey, Arc<AtomicBool>)>,
+    /// Cancel flags of the attempts that may still be pending.
+    cancel_flags: Vec<(AttemptKey, Arc<AtomicBool>)>,
 }
 
-impl Kserve {
-    /// No connection is opened before it is needed.
-    pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: Reports) -> Self {
+impl KserveTransport {
+    /// Creates a transport. Connections are opened when they are needed.
+    pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: ReportSender) -> Self {
         let (jobs, queue) = channel();
-        Kserve { address, limits, reports, state: Arc::default(), jobs, queue, out: Vec::new() }
+        let (state, cancel_flags) = (Arc::default(), Vec::new());
+        KserveTransport { address, limits, reports, state, jobs, queue, cancel_flags }
     }
 
-    fn start(&mut self, what: What, bytes: Vec<u8>, bound: bool, budget: Micros) {
+    /// Queues a job, and starts another connection if all are busy and the limit allows it.
+    fn enqueue(&mut self, kind: JobKind, bytes: Vec<u8>, is_new_work: bool, budget: Micros) {
         let cancelled = Arc::new(AtomicBool::new(false));
-        if let What::Attempt(key, _) = what {
-            self.out.retain(|(_, flag)| Arc::strong_count(flag) > 1);
-            self.out.push((key, cancelled.clone()));
+        if let JobKind::Attempt { key, .. } = kind {
+            self.drop_ended_cancel_flags();
+            self.cancel_flags.push((key, cancelled.clone()));
         }
         let epoch = self.state.epoch.load(Ordering::Acquire);
-        let until = Instant::now() + Duration::from_micros(budget);
-        let load = self.state.load.fetch_add(1, Ordering::AcqRel) + 1;
-        let _ = self.jobs.send(Job { what, bytes, cancelled, epoch, bound, until }); // its timer ends it at last
-        let lanes = self.state.lanes.load(Ordering::Acquire);
-        if load > lanes && lanes < self.limits.lanes_per_worker {
-            self.state.lanes.fetch_add(1, Ordering::AcqRel);
+        let deadline = Instant::now() + Duration::from_micros(budget);
+        let pending = self.state.pending.fetch_add(1, Ordering::AcqRel) + 1;
+        // If no connection takes the job, the core's timer ends it.
+        let _ = self.jobs.send(Job { kind, bytes, cancelled, epoch, is_new_work, deadline });
+        let connections = self.state.connections.load(Ordering::Acquire);
+        if pending > connections && connections < self.limits.lanes_per_worker {
+            self.state.connections.fetch_add(1, Ordering::AcqRel);
             let (address, limits, reports) = (self.address, self.limits.clone(), self.reports.clone());
             let (state, queue) = (self.state.clone(), self.queue.clone());
-            let lane = move || Lane { address, limits, reports, state, stream: None }.run(&queue);
-            if let Err(e) = spawn(self.limits.stack, lane) {
-                self.state.lanes.fetch_sub(1, Ordering::AcqRel);
-                note!("worker {}: no coroutine: {e}", self.address);
+            let run = move || Connection { address, limits, reports, state, stream: None }.run(&queue);
+            if let Err(e) = spawn(self.limits.stack, run) {
+                self.state.connections.fetch_sub(1, Ordering::AcqRel);
+                note!("worker {}: could not start a connection: {e}", self.address);
             }
         }
     }
 
+    /// Drops the cancel flags whose jobs have ended.
+    fn drop_ended_cancel_flags(&mut self) {
+        self.cancel_flags.retain(|(_, flag)| Arc::strong_count(flag) > 1);
+    }
+
     fn post(&self, path: &str, budget: Micros, body: &[u8]) -> Vec<u8> {
         let (host, length, budget) = (self.address, body.len(), budget / 1000);
         let head = format!(
@@ -155,154 +180,168 @@
     }
 }
 
-impl Transport for Kserve {
-    // These workers are listed by a file: what is known of them does not run out.
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, _until: Option<Instant>) {
+impl Transport for KserveTransport {
+    // The start deadlines are ignored: these workers come from a file, so what is known of their readiness does not
+    // expire.
+    fn send_attempt(
+        &mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, _start_deadline: Option<Instant>,
+    ) {
         let path = format!("/v2/models/{:016x}/infer", request.function);
-        let (bytes, foreign) = match &request.payload {
+        let (bytes, wrapped) = match &request.payload {
             Payload::Json(body) => (self.post(&path, budget, body), false),
-            Payload::Bytes(body) => (self.post(&path, budget, &wrap_call(request, body, budget)), true),
+            Payload::Bytes(body) => (self.post(&path, budget, &wrap_request(request, body, budget)), true),
         };
-        self.start(What::Attempt(key, foreign), bytes, true, budget);
+        self.enqueue(JobKind::Attempt { key, wrapped }, bytes, true, budget);
     }
 
-    fn cancel(&mut self, key: AttemptKey) {
-        if let Some(at) = self.out.iter().position(|(k, _)| *k == key) {
-            self.out.swap_remove(at).1.store(true, Ordering::Release);
+    fn cancel_attempt(&mut self, key: AttemptKey) {
+        if let Some(index) = self.cancel_flags.iter().position(|(k, _)| *k == key) {
+            self.cancel_flags.swap_remove(index).1.store(true, Ordering::Release);
         }
     }
 
-    fn lapse(&mut self, _order: u64) {} // each exchange ends its connection by itself, see `Job::until`
+    fn abandon(&mut self, _command: u64) {} // the connection is closed at `Job::deadline`
 
     fn is_idle(&self) -> bool {
-        self.state.load.load(Ordering::Acquire) == 0
+        self.state.pending.load(Ordering::Acquire) == 0
     }
 
-    fn connections(&self) -> (usize, bool) {
-        (self.state.lanes.load(Ordering::Acquire), false) // bounded by itself: see `Limits::lanes_per_worker`
+    fn connections(&self) -> ConnectionUsage {
+        // `Limits::lanes_per_worker` bounds these connections, so the transport never asks for another.
+        ConnectionUsage { open: self.state.connections.load(Ordering::Acquire), needs_new: false }
     }
 
     fn idle_since(&self) -> Option<Instant> {
-        None // a lane closes its connection by itself
+        None // idle connections close by themselves
     }
 
-    fn close_idle(&mut self) {}
+    fn close_longest_idle(&mut self) {}
 
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32, _until: Option<Instant>) {
+    fn send_load(
+        &mut self, command: u64, function: FunctionId, copies: u32, _start_deadline: Option<Instant>,
+    ) {
         let bytes = if copies > 0 {
-            let told = map(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
-            let body = json::to_string(&map(vec![("parameters", told)]));
+            let parameters = json_object(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
+            let body = json::to_string(&json_object(vec![("parameters", parameters)]));
             let path = format!("/v2/repository/models/{function:016x}/load");
             self.post(&path, self.limits.order, body.as_bytes())
         } else {
             self.post("/v2/repository/index", self.limits.order, b"{\"ready\":true}")
         };
-        self.start(What::Order(order, function, copies), bytes, copies > 0, self.limits.order);
+        self.enqueue(JobKind::Load { command, function, copies }, bytes, copies > 0, self.limits.order);
     }
 
-    fn probe(&mut self, probe: u64) {
-        self.reports.probed(probe, Outcome::Ok, None); // as its file tells
+    fn send_probe(&mut self, probe: u64) {
+        self.reports.probe_ended(probe, Outcome::Ok, None); // the endpoints file says that the worker is ready
     }
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
         let bytes = self.post(&path, self.limits.order, b"{}");
-        self.start(What::Unload, bytes, false, self.limits.order);
+        self.enqueue(JobKind::Unload, bytes, false, self.limits.order);
     }
 
     fn retire(&mut self) {
         self.state.epoch.fetch_add(1, Ordering::AcqRel);
     }
 
-    fn pulse(&mut self) {} // a connection carries one exchange: its silence is the exchange's
+    fn check_liveness(&mut self) {} // a connection carries one exchange, which has a deadline
 
     fn sweep(&mut self) {
-        self.out.retain(|(_, flag)| Arc::strong_count(flag) > 1); // idle connections close by themselves
+        self.drop_ended_cancel_flags(); // idle connections close by themselves
     }
 }
 
-/// One connection's coroutine.
-struct Lane {
+/// The coroutine of one connection.
+struct Connection {
     address: SocketAddr,
     limits: Arc<Limits>,
-    reports: Reports,
-    state: Arc<State>,
+    reports: ReportSender,
+    state: Arc<SharedState>,
+    /// The open connection, and when it was last used.
     stream: Option<(TcpStream, Instant)>,
 }
 
-/// An answer read whole.
+/// A complete HTTP response of the worker.
 struct Reply {
     status: u16,
     body: Vec<u8>,
 }
 
-impl Lane {
+impl Connection {
     fn run(mut self, queue: &Receiver<Job>) {
         loop {
             match queue.recv_timeout(self.limits.worker_idle) {
                 Ok(job) => {
-                    self.job(&job);
-                    self.state.load.fetch_sub(1, Ordering::AcqRel);
+                    self.run_job(&job);
+                    self.state.pending.fetch_sub(1, Ordering::AcqRel);
                 }
-                // Guards against a call that crosses the worker's own close of an idle connection.
+                // Closing an idle connection before the worker does keeps an attempt from crossing the worker's close.
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout) => self.stream = None,
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn job(&mut self, job: &Job) {
-        let ended = self.exchange(job);
+    fn run_job(&mut self, job: &Job) {
+        let result = self.exchange(job);
         if job.cancelled.load(Ordering::Acquire) {
-            return; // the core has ended it already
+            return; // the core has ended the attempt already
         }
-        match &job.what {
-            What::Attempt(key, foreign) => {
-                let report = match ended {
-                    Ok(reply) => attempt_report(reply, *foreign),
+        match &job.kind {
+            JobKind::Attempt { key, wrapped } => {
+                let report = match result {
+                    Ok(reply) => attempt_report(reply, *wrapped),
                     Err(outcome) => Report::bare(outcome),
                 };
-                self.reports.ended(*key, report);
+                self.reports.attempt_ended(*key, report);
             }
-            What::Order(order, function, copies) => {
-                let (outcome, stand) = match ended {
-                    Ok(reply) => order_report(&reply, *function, *copies),
+            JobKind::Load { command, function, copies } => {
+                let (outcome, loaded) = match result {
+                    Ok(reply) => load_result(&reply, *function, *copies),
                     Err(outcome) => (outcome, 0),
                 };
-                self.reports.ordered(*order, outcome, stand);
+                self.reports.load_ended(*command, outcome, loaded);
             }
-            What::Unload => {}
+            JobKind::Unload => {}
         }
     }
 
-    /// Whether the job may no longer be begun.
-    fn withheld(&self, job: &Job) -> bool {
-        let past = job.epoch != self.state.epoch.load(Ordering::Acquire);
-        job.cancelled.load(Ordering::Acquire) || past && job.bound
+    /// Whether the job must not be started any more.
+    fn must_not_start(&self, job: &Job) -> bool {
+        let outdated = job.epoch != self.state.epoch.load(Ordering::Acquire);
+        job.cancelled.load(Ordering::Acquire) || outdated && job.is_new_work
     }
 
-    /// Sends the request and reads the whole answer, or tells how far it came.
+    /// Sends the request and reads the whole reply.
+    ///
+    /// # Errors
+    /// Returns the outcome that says whether the worker may have run the request.
     fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
-        if self.withheld(job) {
+        if self.must_not_start(job) {
             return Err(Outcome::Moot);
         }
         let mut stream = match self.stream.take() {
-            Some((stream, used)) if used.elapsed() < self.limits.worker_idle && still_open(&stream) => stream,
+            Some((stream, last_used))
+                if last_used.elapsed() < self.limits.worker_idle && is_still_open(&stream) =>
+            {
+                stream
+            }
             _ => self.connect().map_err(|why| {
-                note!("worker {}: no connection: {why}", self.address);
+                note!("worker {}: could not connect: {why}", self.address);
                 Outcome::ConnectFailed
             })?,
         };
-        if self.withheld(job) {
+        if self.must_not_start(job) {
             self.stream = Some((stream, Instant::now()));
             return Err(Outcome::Moot);
         }
         self.write(&mut stream, job)?;
         let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
             if !job.cancelled.load(Ordering::Acquire) {
-                note!("worker {}: answer lost: {why}", self.address);
+                note!("worker {}: no complete reply, the request may have run: {why}", self.address);
             }
-            // Wholly written and no whole answer: it may have run.
+            // The request was written completely, so it may have run.
             Outcome::Reset
         })?;
         if reusable {
@@ -331,69 +370,69 @@
                 }
                 Err(e) if timed_out(&e) && stalled < self.limits.write_stall => {
                     stalled += self.limits.write_check;
-                    if self.withheld(job) && ring.len() == job.bytes.len() {
+                    if self.must_not_start(job) && ring.len() == job.bytes.len() {
                         return Err(Outcome::Moot);
                     }
                 }
-                // Not wholly written: nothing can have run.
+                // A request that was not written completely cannot have run.
                 _ => return Err(Outcome::ConnectFailed),
             }
         }
         Ok(())
     }
 
-    /// Reads one answer; whether the connection can carry another exchange.
+    /// Reads one reply, and tells whether the connection can carry another exchange.
     fn read(&self, stream: &mut TcpStream, job: &Job) -> Result<(Reply, bool), String> {
         let mut ring = Ring::new(self.limits.client_ring);
-        let (mut head, mut body) = (Vec::new(), Vec::new());
-        let mut told: Option<Head> = None;
+        let (mut head_bytes, mut body) = (Vec::new(), Vec::new());
+        let mut head: Option<Head> = None;
         let mut chunks = Chunked::default();
-        let mut heard = Instant::now();
+        let mut last_read = Instant::now();
         loop {
-            if let Some(known) = told.as_ref() {
-                let whole = match known.length {
+            if let Some(head) = head.as_ref() {
+                let complete = match head.length {
                     Some(length) => {
                         ring.take(length - body.len(), &mut body);
                         body.len() == length
                     }
-                    None if known.chunked => chunked(&mut chunks, &mut ring, &mut body)?,
-                    None => return Err("an answer of no stated length".to_owned()),
+                    None if head.chunked => decode_chunks(&mut chunks, &mut ring, &mut body)?,
+                    None => return Err("the reply has no length and is not chunked".to_owned()),
                 };
-                if whole {
-                    let reusable = !known.close && !known.chunked && ring.is_empty();
-                    return Ok((Reply { status: known.status, body }, reusable));
+                if complete {
+                    let reusable = !head.close && !head.chunked && ring.is_empty();
+                    return Ok((Reply { status: head.status, body }, reusable));
                 }
                 if body.len() > self.limits.answer {
-                    return Err("the answer is too long".to_owned());
+                    return Err("the reply is too long".to_owned());
                 }
             }
-            while told.is_none() && ring.take(1, &mut head) > 0 {
-                if head.ends_with(b"\r\n\r\n") {
-                    let known = Head::answer(&head)?;
-                    if known.length.is_some_and(|l| l > self.limits.answer) {
-                        return Err("the answer is too long".to_owned());
+            while head.is_none() && ring.take(1, &mut head_bytes) > 0 {
+                if head_bytes.ends_with(b"\r\n\r\n") {
+                    let parsed = Head::answer(&head_bytes)?;
+                    if parsed.length.is_some_and(|l| l > self.limits.answer) {
+                        return Err("the reply is too long".to_owned());
                     }
-                    head.clear();
-                    told = (known.status >= 200).then_some(known); // 100 Continue is passed over
-                } else if head.len() > self.limits.head {
-                    return Err("the head is too long".to_owned());
+                    head_bytes.clear();
+                    head = (parsed.status >= 200).then_some(parsed); // skips 1xx responses such as 100 Continue
+                } else if head_bytes.len() > self.limits.head {
+                    return Err("the reply's head is too long".to_owned());
                 }
             }
-            if told.is_some() && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0))) {
+            if head.is_some() && (!ring.is_empty() || head.as_ref().is_some_and(|h| h.length == Some(0))) {
                 continue;
             }
             match ring.fill(stream) {
-                Ok(0) => return Err("cut".to_owned()),
-                Ok(_) => heard = Instant::now(),
+                Ok(0) => return Err("the worker closed the connection".to_owned()),
+                Ok(_) => last_read = Instant::now(),
                 Err(e) if timed_out(&e) => {
-                    // Guards against an answer that stops short, as with frames.
-                    let begun = told.is_some() || !head.is_empty();
-                    if begun && heard.elapsed() > self.limits.frame_stall {
-                        return Err("an answer stopped midway".to_owned());
+                    // As with frames, a reply that has begun must go on without long pauses.
+                    let begun = head.is_some() || !head_bytes.is_empty();
+                    if begun && last_read.elapsed() > self.limits.frame_stall {
+                        return Err("the reply stopped before its end".to_owned());
                     }
-                    // Closing the connection is how an exchange is given up.
-                    if job.cancelled.load(Ordering::Acquire) || Instant::now() > job.until {
-                        return Err("given up".to_owned());
+                    // HTTP/1.1 has no cancel: closing the connection is the only way to end an exchange early.
+                    if job.cancelled.load(Ordering::Acquire) || Instant::now() > job.deadline {
+                        return Err("cancelled or past its deadline".to_owned());
                     }
                 }
                 Err(e) => return Err(e.to_string()),
@@ -402,12 +441,13 @@
     }
 }
 
-/// Whether a connection that lay idle still stands: nothing may wait in it, least of all its end.
-fn still_open(stream: &TcpStream) -> bool {
+/// Whether an idle connection can be used: neither bytes nor its end may be waiting to be read.
+fn is_still_open(stream: &TcpStream) -> bool {
     matches!(stream.inner().peek(&mut [0]), Err(e) if timed_out(&e))
 }
 
-fn chunked(chunks: &mut Chunked, ring: &mut Ring, body: &mut Vec<u8>) -> Result<bool, String> {
+/// Decodes the bytes in the ring buffer; whether the last chunk has been reached.
+fn decode_chunks(chunks: &mut Chunked, ring: &mut Ring, body: &mut Vec<u8>) -> Result<bool, String> {
     let mut bytes = Vec::new();
     ring.take(usize::MAX, &mut bytes);
     for byte in bytes {
@@ -420,11 +460,12 @@
     Ok(false)
 }
 
-fn fields(body: &[u8]) -> Option<Value> {
+fn parse_json(body: &[u8]) -> Option<Value> {
     std::str::from_utf8(body).ok().and_then(|t| parse(t).ok())
 }
 
-/// A v2 worker that lacks the model says 404, one that takes nothing 429 or 503: neither has run anything.
+/// The outcome that an HTTP status stands for. Workers answer 404 without the model, and 429 or 503 when they accept
+/// nothing: in neither case has anything run.
 fn outcome(status: u16) -> Outcome {
     match status {
         200 => Outcome::Ok,
@@ -434,46 +475,47 @@
     }
 }
 
-fn attempt_report(reply: Reply, foreign: bool) -> Report {
-    let whole = fields(&reply.body);
-    let answer = whole.as_ref().and_then(object);
-    let told = answer.and_then(|a| part(a, "parameters"));
-    let warm = match told.and_then(|t| text(t, "detail")) {
+fn attempt_report(reply: Reply, wrapped: bool) -> Report {
+    let json = parse_json(&reply.body);
+    let response = json.as_ref().and_then(object);
+    let parameters = response.and_then(|r| part(r, "parameters"));
+    let warm = match parameters.and_then(|p| text(p, "detail")) {
         Some("resident") => Some(true),
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = told.and_then(|t| heronslip_policy::json::whole(t, "company")).map(|n| n.min(1 << 16) as u32);
+    let crowd = parameters.and_then(|p| whole(p, "company")).map(|n| n.min(MAX_REPORTED_COUNT) as u32);
     let mut outcome = outcome(reply.status);
     let payload = match outcome {
-        Outcome::Ok if foreign => answer.and_then(unwrap_answer).map(Payload::Bytes),
-        Outcome::Ok => answer.is_some().then_some(Payload::Json(reply.body)),
+        Outcome::Ok if wrapped => response.and_then(unwrap_response).map(Payload::Bytes),
+        Outcome::Ok => response.is_some().then_some(Payload::Json(reply.body)),
         _ => None,
     };
     if outcome == Outcome::Ok && payload.is_none() {
-        outcome = Outcome::Error; // it ran, but what it said cannot be passed on
+        outcome = Outcome::Error; // the request ran, but its result cannot be passed on
     }
     Report { outcome, warm, crowd, inflight: None, payload }
 }
 
-fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
-    let (outcome, whole_body) = (outcome(reply.status), fields(&reply.body));
-    let copies_told = |o: &Object| whole(o, "slots_up").map(|n| n.min(1 << 16) as u32);
+/// The outcome of a load command or a copy query, and the number of loaded copies.
+fn load_result(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
+    let (outcome, json) = (outcome(reply.status), parse_json(&reply.body));
+    let reported_copies = |o: &Object| whole(o, "slots_up").map(|n| n.min(MAX_REPORTED_COUNT) as u32);
     if copies > 0 {
-        let told =
-            whole_body.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(copies_told));
-        let stand = if outcome == Outcome::Ok { told.unwrap_or(copies) } else { told.unwrap_or(0) };
-        return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, stand);
+        let reported =
+            json.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(reported_copies));
+        let loaded = if outcome == Outcome::Ok { reported.unwrap_or(copies) } else { reported.unwrap_or(0) };
+        return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, loaded);
     }
     let name = format!("{function:016x}");
-    let Some(Value::Array(models)) = &whole_body else {
+    let Some(Value::Array(models)) = &json else {
         return (if outcome == Outcome::Ok { Outcome::Error } else { outcome }, 0);
     };
-    let ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
-    let stand = models
+    let is_ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
+    let loaded = models
         .iter()
         .filter_map(object)
-        .filter(ready)
-        .map(|m| part(m, "parameters").and_then(copies_told).unwrap_or(1));
-    (outcome, stand.sum())
+        .filter(is_ready)
+        .map(|m| part(m, "parameters").and_then(reported_copies).unwrap_or(1));
+    (outcome, loaded.sum())
 }
--- a/heronslip/src/worker/mod.rs
+++ b/heronslip/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Transports: what carries attempts, orders and cancels to one worker and reports how they end.
+//! Worker transports: each carries attempts, load commands and cancels to one worker and reports how they end.
 pub mod frames;
 pub mod kserve;
 
@@ -10,63 +10,79 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The core's queue, as transports see it.
+/// Sends the transports' reports to the core's queue.
 #[derive(Clone)]
-pub struct Reports(pub Sender<Message>);
+pub struct ReportSender(pub Sender<Message>);
 
-impl Reports {
-    /// An attempt ended.
-    pub fn ended(&self, key: AttemptKey, report: Report) {
-        let _ = self.0.send(Message::Ended(key, report)); // the core only ends with the program
+impl ReportSender {
+    /// Reports that an attempt ended.
+    pub fn attempt_ended(&self, key: AttemptKey, report: Report) {
+        let _ = self.0.send(Message::Ended(key, report)); // fails only while the process exits
     }
 
-    /// An order ended.
-    pub fn ordered(&self, order: u64, outcome: Outcome, copies: u32) {
-        let _ = self.0.send(Message::Ordered(order, outcome, copies));
+    /// Reports that a load command or a copy query ended, with the number of loaded copies.
+    pub fn load_ended(&self, command: u64, outcome: Outcome, copies: u32) {
+        let _ = self.0.send(Message::Ordered(command, outcome, copies));
     }
 
-    /// A probe ended.
-    pub fn probed(&self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
+    /// Reports that a probe ended, with the number of requests in flight where the worker reported it.
+    pub fn probe_ended(&self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
         let _ = self.0.send(Message::Probed(probe, outcome, inflight));
     }
 }
 
-/// The way to one worker. No call blocks; everything is carried out by coroutines.
+/// How many connections a transport uses.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionUsage {
+    /// Connections that are open or being opened.
+    pub open: usize,
+    /// Whether the next exchange needs a new connection.
+    pub needs_new: bool,
+}
+
+/// Carries exchanges to one worker. No method blocks: coroutines do the I/O.
+///
+/// Load commands, copy queries and probes share one number space.
 pub trait Transport: Send {
-    /// Sends an attempt, of which no byte goes after `until`; exactly one report follows, unless it is cancelled first.
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, until: Option<Instant>);
-    /// Gives an attempt up; what is not yet written is not written.
-    fn cancel(&mut self, key: AttemptKey);
-    /// Gives the answer to an order or a probe up: it is awaited no more.
-    fn lapse(&mut self, order: u64);
-    /// Whether no connection is left.
+    /// Sends an attempt, unless its first byte cannot be written before `start_deadline`. Reports its end exactly
+    /// once, unless it is cancelled first.
+    fn send_attempt(
+        &mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, start_deadline: Option<Instant>,
+    );
+    /// Cancels an attempt. What has not been written yet is not written.
+    fn cancel_attempt(&mut self, key: AttemptKey);
+    /// Stops waiting for the reply to a load command, a copy query or a probe.
+    fn abandon(&mut self, command: u64);
+    /// Whether nothing is open any more, so that the transport can be dropped.
     fn is_idle(&self) -> bool;
-    /// Connections that are open or being opened, and whether the next exchange needs another.
-    fn connections(&self) -> (usize, bool);
-    /// The connection that has been without an exchange for longest: since when.
+    /// How many connections are in use.
+    fn connections(&self) -> ConnectionUsage;
+    /// Since when the connection that has been idle longest has had no exchange.
     fn idle_since(&self) -> Option<Instant>;
-    /// Closes that connection.
-    fn close_idle(&mut self);
-    /// Orders the worker to hold copies; 0 only asks. Of an order for copies no byte goes after `until`.
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32, until: Option<Instant>);
-    /// Asks the worker whether it takes work. Probes and orders are numbered as one.
-    fn probe(&mut self, probe: u64);
-    /// Has idle copies unloaded.
+    /// Closes the connection that has been idle longest.
+    fn close_longest_idle(&mut self);
+    /// Tells the worker to have this many copies of a function loaded; with 0 copies it only queries the number
+    /// of loaded copies. A load command is not sent if its first byte cannot be written before `start_deadline`.
+    fn send_load(&mut self, command: u64, function: FunctionId, copies: u32, start_deadline: Option<Instant>);
+    /// Asks the worker whether it accepts work.
+    fn send_probe(&mut self, probe: u64);
+    /// Tells the worker to unload the idle copies of a function.
     fn unload(&mut self, function: FunctionId);
-    /// The worker drains or is gone: calls and orders of which no byte is written yet are not written.
+    /// Called when the worker drains, restarts or is gone: attempts and load commands of which no byte has been
+    /// written yet are not written.
     fn retire(&mut self);
-    /// Looks whether connections on which answers are awaited still carry any. Called often.
-    fn pulse(&mut self);
-    /// Closes connections that have been idle for long.
+    /// Checks that connections with pending exchanges still deliver replies. Called often.
+    fn check_liveness(&mut self);
+    /// Closes connections that have been idle for too long.
     fn sweep(&mut self);
 }
 
-/// The transport for a worker's speech.
-pub fn transport(
-    speech: Speech, address: SocketAddr, limits: &Arc<Limits>, reports: &Reports,
+/// Creates the transport for a worker's protocol.
+pub fn new_transport(
+    speech: Speech, address: SocketAddr, limits: &Arc<Limits>, reports: &ReportSender,
 ) -> Box<dyn Transport> {
     match speech {
-        Speech::Frames => Box::new(frames::Frames::new(address, limits.clone(), reports.clone())),
-        Speech::Kserve => Box::new(kserve::Kserve::new(address, limits.clone(), reports.clone())),
+        Speech::Frames => Box::new(frames::FrameTransport::new(address, limits.clone(), reports.clone())),
+        Speech::Kserve => Box::new(kserve::KserveTransport::new(address, limits.clone(), reports.clone())),
     }
 }
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -22,7 +22,7 @@
     let stream = [answer(200, b"one"), answer(202, b""), answer(200, b"three")].concat();
     for part in stream.chunks(piece) {
         assert_eq!(ring.push(part), part.len());
-        while let Some(frame) = decoder.next(&mut ring, 100).expect("sound") {
+        while let Some(frame) = decoder.next_frame(&mut ring, 100).expect("sound") {
             assert_eq!(frame.id, 9);
             bodies.push(frame.body);
         }
@@ -40,7 +40,7 @@
     bytes[at] = byte;
     let mut ring = Ring::new(64);
     ring.push(&bytes);
-    assert!(Decoder::default().next(&mut ring, 100).is_err());
+    assert!(Decoder::default().next_frame(&mut ring, 100).is_err());
 }
 
 /// What others can cause at full speed is written a few times a second, then counted.
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -5,7 +5,7 @@
 use common::{call, connect, fastcgi_answer, frame, Hand, Plan, Received, Stage, PATIENCE};
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Payload, Request};
-use heronslip::worker::{frames::Frames, Reports, Transport};
+use heronslip::worker::{frames::FrameTransport, ReportSender, Transport};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -21,7 +21,7 @@
     limits.connect = Duration::from_secs(60);
     heronslip::net::schedule(&limits);
     let (queue, _reports) = mpsc::channel();
-    let mut transport = Frames::new(address, Arc::new(limits), Reports(queue));
+    let mut transport = FrameTransport::new(address, Arc::new(limits), ReportSender(queue));
     let request = Request {
         wire_id: 9,
         class: "tile-render".to_owned(),
@@ -39,8 +39,8 @@
         reading: None,
     };
     let key = AttemptKey { request: 1, attempt: 0 };
-    transport.send(key, &Arc::new(request), 60_000_000, None);
-    transport.cancel(key);
+    transport.send_attempt(key, &Arc::new(request), 60_000_000, None);
+    transport.cancel_attempt(key);
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     // What waits is written before the connection is let go.
     transport.unload(7);
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -4,8 +4,8 @@
 use common::stand_ins::hanging_listener;
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Message, Payload, Request};
-use heronslip::worker::frames::{encode, Begin, Frames, Outgoing, Withheld};
-use heronslip::worker::{Reports, Transport};
+use heronslip::worker::frames::{encode, FrameTransport, RemovedFrames, StartCondition, WriteQueue};
+use heronslip::worker::{ReportSender, Transport};
 use heronslip_policy::{Outcome, Settings};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 /// A transport to this address, on one scheduler thread as the program has it.
-fn frames(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> Frames {
+fn frames(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> FrameTransport {
     heronslip::net::schedule(&limits);
-    Frames::new(address, Arc::new(limits), Reports(reports))
+    FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
 /// Guards rule 3: what still waits for a connection when its worker drains is never written.
@@ -28,7 +28,7 @@
     limits.connect = Duration::from_secs(20);
     let (queue, reports) = mpsc::channel();
     let mut transport = frames(address, limits, queue);
-    transport.order(1, 7, 1, None);
+    transport.send_load(1, 7, 1, None);
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
@@ -55,7 +55,7 @@
     let since = Instant::now();
     let budget = Duration::from_secs(60);
     let key = AttemptKey { request: 1, attempt: 0 };
-    transport.send(key, &request(9), budget.as_micros() as u64, None);
+    transport.send_attempt(key, &request(9), budget.as_micros() as u64, None);
     std::thread::sleep(Duration::from_millis(500));
     let waited = since.elapsed();
     drop(fillers); // their ends are read as empty connections
@@ -78,10 +78,10 @@
     let address = listener.local_addr().expect("bound");
     let (queue, _reports) = mpsc::channel();
     let mut transport = frames(address, Limits::new(192, 1024, &Settings::default()), queue);
-    transport.order(1, 7, 1, None);
+    transport.send_load(1, 7, 1, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 52]).expect("the order");
-    transport.lapse(1);
+    transport.abandon(1);
     transport.retire();
     let since = Instant::now();
     while !transport.is_idle() {
@@ -144,7 +144,7 @@
     let address = listener.local_addr().expect("bound");
     let (queue, reports) = mpsc::channel();
     let mut transport = frames(address, Limits::new(192, 1024, &Settings::default()), queue);
-    transport.send(AttemptKey { request: 1, attempt: 0 }, &request(9), 1_000_000, None);
+    transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     let (_, id, _) = command(&mut stream);
     reply(&mut stream, 203, id, fields);
@@ -155,12 +155,12 @@
 }
 
 /// Bytes that leave, in pieces of this size.
-fn leave(outgoing: &mut Outgoing, mut bytes: usize) -> Vec<u8> {
+fn leave(outgoing: &mut WriteQueue, mut bytes: usize) -> Vec<u8> {
     let mut left = Vec::new();
     while bytes > 0 && !outgoing.is_empty() {
         let n = outgoing.front().len().min(bytes);
         left.extend(&outgoing.front()[..n]);
-        outgoing.wrote(n);
+        outgoing.consume(n);
         bytes -= n;
     }
     left
@@ -173,17 +173,17 @@
     let frame = |code, id| encode(code, id, "queue=c,path=7", b"body");
     let (begun, unbegun, give_up) = (frame(2, 1), frame(2, 2), encode(3, 9, "", b""));
     let (question, last) = (frame(6, 3), frame(2, 4));
-    let (new, now) = (Begin::WhileReady { until: None }, Instant::now());
-    let mut outgoing = Outgoing::new(4096);
+    let (new, now) = (StartCondition::WhileReady { deadline: None }, Instant::now());
+    let mut outgoing = WriteQueue::new(4096);
     outgoing.push(&begun, Some((1, new)));
     outgoing.push(&unbegun, Some((2, new)));
     outgoing.push(&give_up, None);
-    outgoing.push(&question, Some((3, Begin::AnyTime)));
+    outgoing.push(&question, Some((3, StartCondition::Always)));
     outgoing.push(&last, Some((4, new)));
     let mut left = leave(&mut outgoing, 5);
     let end = (begun.len() + give_up.len() + question.len()) as u64;
-    assert_eq!(outgoing.withhold(true, now), Withheld { ids: vec![2, 4], moved: vec![(3, end)] });
-    assert_eq!(outgoing.withhold(true, now), Withheld::default(), "once");
+    assert_eq!(outgoing.remove_expired(true, now), RemovedFrames { ids: vec![2, 4], moved: vec![(3, end)] });
+    assert_eq!(outgoing.remove_expired(true, now), RemovedFrames::default(), "once");
     left.extend(leave(&mut outgoing, usize::MAX));
     assert_eq!(left, [begun, give_up, question].concat());
 }
@@ -206,17 +206,17 @@
     let limits = Limits::new(192, 1024, &Settings::default());
     let mut transport = frames(listener.local_addr().expect("bound"), limits, queue);
     let [first, second] = [1, 2].map(|request| AttemptKey { request, attempt: 0 });
-    transport.send(first, &request(9), 1_000_000, None);
+    transport.send_attempt(first, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     assert_eq!(command(&mut stream).0, 2);
     if served {
         reply(&mut stream, 200, 9, "");
         assert_eq!(ended(&reports), (first, Outcome::Ok));
     } else {
-        transport.cancel(first);
+        transport.cancel_attempt(first);
         assert_eq!(command(&mut stream).0, 3);
     }
-    transport.send(second, &request(9), 1_000_000, None);
+    transport.send_attempt(second, &request(9), 1_000_000, None);
     reply(&mut stream, 200, 9, ""); // the answer to the first crosses
     assert_eq!(ended(&reports), (second, Outcome::Moot));
 }
@@ -231,7 +231,7 @@
     let mut stream = None;
     for (attempt, (code, outcome)) in [(203, Outcome::Full), (200, Outcome::Ok)].into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
-        transport.send(key, &request(9), 1_000_000, None);
+        transport.send_attempt(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
         assert_eq!(command(stream).0, 2);
         reply(stream, code, 9, "");
