--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -1,5 +1,5 @@
 //! What a front end is told at its start: environment, NODE_CONFIG and the file of the KServe v2 front.
-use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
+use crate::discovery::json_array::{ArrayScanner, BytePosition, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
 use heronslip_policy::json::{as_text, number, parse, part, text, whole};
@@ -64,7 +64,7 @@
 
 /// Reads a configuration piece by piece: all but the events under `known`, whose bytes go to `event` with the place
 /// of each. So a list of many workers is never held as text or as JSON.
-fn configuration(path: &str, mut event: impl FnMut(Place, u8)) -> Read<Object> {
+fn configuration(path: &str, mut event: impl FnMut(BytePosition, u8)) -> Read<Object> {
     let told = |e: std::io::Error| format!("{path}: {e}");
     let broken = |e: ScanError| format!("{path}: {e}");
     let mut file = std::fs::File::open(path).map_err(told)?;
@@ -79,8 +79,8 @@
             break;
         }
         for &byte in &piece[..read] {
-            match scanner.byte(byte).map_err(broken)? {
-                Place::Outside => {}
+            match scanner.push(byte).map_err(broken)? {
+                BytePosition::Outside => {}
                 place => event(place, byte),
             }
         }
@@ -103,14 +103,14 @@
         KnownEvents { done: Vec::new(), reader: EventReader::new(KNOWN_BOUNDS), event, error: None }
     }
 
-    fn byte(&mut self, place: Place, byte: u8) {
-        if place != Place::After && self.error.is_none() {
-            match self.reader.byte(byte) {
+    fn byte(&mut self, place: BytePosition, byte: u8) {
+        if place != BytePosition::After && self.error.is_none() {
+            match self.reader.push(byte) {
                 Ok(entry) => self.event.entries.extend(entry),
                 Err(error) => self.error = Some(error),
             }
         }
-        if place != Place::Inside {
+        if place != BytePosition::Inside {
             let KnownEvents { mut done, reader, event, error } = std::mem::replace(self, KnownEvents::new());
             let full = error.map_or_else(|| reader.finish(), Err);
             done.push(full.map(|full| ListEvent { full, ..event }));
--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -1,8 +1,8 @@
-//! Follows the notice board over HTTP: server-sent events, resumed by the number of the last one.
+//! Follows the worker list of the discovery service: server-sent events over HTTP, resumed after the last event id.
 use super::backoff::Backoff;
 use super::event_stream::{EventStream, StreamItem};
 use super::list_event::{EventBounds, EventError, EventReader};
-use super::table::{Staged, Table};
+use super::table::{StagedEvent, WorkerTable};
 use super::ListEvent;
 use crate::http::{Chunked, Coded, Head};
 use crate::limits::Limits;
@@ -18,362 +18,376 @@
 use std::sync::mpsc::Sender;
 use std::time::Instant;
 
-/// Where the board is. It may move while the program runs.
-pub struct Board(Mutex<Option<SocketAddr>>);
+/// The discovery service's address. It may change while the program runs.
+pub struct ServiceAddress(Mutex<Option<SocketAddr>>);
 
-impl Board {
-    /// A board at this address, or none yet.
+impl ServiceAddress {
+    /// This address, or none yet.
     pub fn new(address: Option<SocketAddr>) -> Self {
-        Board(Mutex::new(address))
+        ServiceAddress(Mutex::new(address))
     }
 
-    /// The board is elsewhere from now on; whoever follows it notices within `Limits::board_check`.
-    pub fn moved(&self, to: SocketAddr) {
+    /// Changes the address. [`follow`] reconnects within `Limits::board_check`.
+    pub fn set(&self, new_address: SocketAddr) {
         if let Ok(mut address) = self.0.lock() {
-            *address = Some(to);
+            *address = Some(new_address);
         }
     }
 
-    fn address(&self) -> Option<SocketAddr> {
+    fn get(&self) -> Option<SocketAddr> {
         self.0.lock().ok().and_then(|a| *a)
     }
 }
 
-/// Why a connection to the board ended.
+/// Why a connection to the discovery service ended.
 #[derive(Debug, thiserror::Error)]
-enum WatchError {
+enum ConnectionError {
     #[error(transparent)]
-    Connection(#[from] std::io::Error),
-    #[error("closed")]
+    Io(#[from] std::io::Error),
+    #[error("the service closed the connection")]
     Closed,
-    #[error("silent")]
+    #[error("nothing was received for too long")]
     Silent,
-    #[error("the board has moved")]
-    Moved,
-    #[error("status {0}")]
+    #[error("the service's address has changed")]
+    AddressChanged,
+    #[error("HTTP status {0}")]
     Status(u16),
     #[error("{0}")]
     Http(String),
-    #[error("an event without a number: {0}")]
-    Number(String),
-    /// Asked for once more, as it may have been spoilt on its way.
-    #[error("event {number} of {bytes} bytes: {fault}")]
-    Spoilt { number: u64, bytes: usize, fault: Fault },
+    #[error("an event id is not a number: {0}")]
+    EventId(String),
+    /// The event is requested once more, as it may have been corrupted on its way.
+    #[error("event {number} ({bytes} bytes) is not applied and is requested again: {problem}")]
+    RejectedEvent { number: u64, bytes: usize, problem: EventProblem },
 }
 
-/// What is wrong with an event that has come to its end.
+/// What is wrong with a complete event.
 #[derive(Debug, thiserror::Error)]
-enum Fault {
+enum EventProblem {
     #[error(transparent)]
     Event(EventError),
     #[error("{0}")]
     Entry(String),
-    #[error("it does not follow event {0}")]
+    #[error("events between {0} and it are missing")]
     Gap(u64),
 }
 
-/// The list as it is known, and how far the board's events have been read.
-pub struct Follower {
-    table: Table,
+/// The worker list as it is known, and the last event that was applied to it.
+pub struct Subscriber {
+    table: WorkerTable,
     bounds: EventBounds,
     core: Sender<Message>,
-    /// What the events of the configuration come to, until they have all been taken over.
-    known: Option<BTreeMap<String, Member>>,
-    /// Number of the last event that counts.
-    last: u64,
-    /// The event after it that could not be used when it came first.
-    spoilt: Option<u64>,
-    /// What the core was told last of discovery.
-    state: Option<DiscoveryState>,
+    /// The combined changes of the configured events, until all of these have been applied.
+    configured: Option<BTreeMap<String, Member>>,
+    /// Number of the last event that was applied or skipped.
+    last_event: u64,
+    /// The event after it, if that was invalid and has been requested again.
+    requested_again: Option<u64>,
+    /// The discovery state that was last sent to the core.
+    sent_state: Option<DiscoveryState>,
 }
 
-/// An event on its way.
-struct Incoming {
+/// An event whose data is arriving.
+struct IncomingEvent {
     reader: EventReader,
-    staged: Staged,
-    /// It cannot be used; the rest of it is passed over.
+    staged: StagedEvent,
+    /// Why the event cannot be used. The rest of its data is skipped.
     error: Option<EventError>,
     bytes: usize,
 }
 
-impl Follower {
-    /// Nothing is known yet.
+impl Subscriber {
+    /// A subscriber that knows no workers yet.
     pub fn new(limits: &Limits, core: Sender<Message>) -> Self {
         let bounds = EventBounds { entry_bytes: limits.board_entry, entries: limits.board_entries };
-        Follower { table: Table::default(), bounds, core, known: None, last: 0, spoilt: None, state: None }
+        Subscriber {
+            table: WorkerTable::default(),
+            bounds,
+            core,
+            configured: None,
+            last_event: 0,
+            requested_again: None,
+            sent_state: None,
+        }
     }
 
-    /// Takes over an event that was told with the configuration; whether all of it could be read. What it changes is
-    /// told with [`Follower::known_to`].
-    pub fn take_known(&mut self, event: ListEvent) -> bool {
-        let mut staged = self.table.begin();
+    /// Applies an event from the configuration, and returns whether all its entries could be used. The core receives
+    /// the changes with [`Subscriber::finish_configured`].
+    pub fn apply_configured(&mut self, event: ListEvent) -> bool {
+        let mut staged = self.table.begin_event();
         event.entries.into_iter().for_each(|entry| self.table.stage(entry, &mut staged));
-        let sound = staged.unreadable.is_empty();
-        let changed = self.changed(event.full, staged);
-        self.known
+        let all_valid = staged.invalid.is_empty();
+        let changes = self.apply(event.full, staged);
+        self.configured
             .get_or_insert_default()
-            .extend(changed.into_iter().map(|member| (member.id.clone(), member)));
-        sound
+            .extend(changes.into_iter().map(|member| (member.id.clone(), member)));
+        all_valid
     }
 
-    /// The events up to this number are known: tells what they come to, as one.
-    pub fn known_to(&mut self, number: u64) {
-        self.last = number;
-        if let Some(known) = self.known.take() {
-            self.tell(known.into_values().collect());
+    /// Ends the configured events, which go up to event `last_event`, and sends their combined changes to the core.
+    pub fn finish_configured(&mut self, last_event: u64) {
+        self.last_event = last_event;
+        if let Some(configured) = self.configured.take() {
+            self.send_members(configured.into_values().collect());
         }
     }
 
-    /// All that the board has to tell has been read. Told each time that it is seen: the core may have doubted it.
-    fn is_current(&mut self) {
-        if self.state.replace(DiscoveryState::Current) != Some(DiscoveryState::Current) {
-            log!("board: current, after event {}", self.last);
+    /// Tells the core that the list is up to date. It is told each time, as it may have come to suspect the list.
+    fn report_current(&mut self) {
+        if self.sent_state.replace(DiscoveryState::Current) != Some(DiscoveryState::Current) {
+            log!("discovery: the worker list is up to date, last event {}", self.last_event);
         }
         let _ = self.core.send(Message::Discovery(DiscoveryState::Current));
     }
 
-    /// The board may have more to tell than was heard.
-    fn is_lost(&mut self) {
-        if self.state.replace(DiscoveryState::Lost) != Some(DiscoveryState::Lost) {
-            log!("board: lost, after event {}", self.last);
+    /// Tells the core that the service may have changes that have not been received.
+    fn report_lost(&mut self) {
+        if self.sent_state.replace(DiscoveryState::Lost) != Some(DiscoveryState::Lost) {
+            log!("discovery: the worker list may be out of date, last event {}", self.last_event);
             let _ = self.core.send(Message::Discovery(DiscoveryState::Lost));
         }
     }
 
-    fn begin(&mut self) -> Incoming {
-        let staged = self.table.begin();
-        Incoming { reader: EventReader::new(self.bounds), staged, error: None, bytes: 0 }
+    fn begin_event(&mut self) -> IncomingEvent {
+        let staged = self.table.begin_event();
+        IncomingEvent { reader: EventReader::new(self.bounds), staged, error: None, bytes: 0 }
     }
 
-    /// Takes a byte of an event's data; whether it completed an entry.
-    fn data(&mut self, byte: u8, incoming: &mut Incoming) -> bool {
-        incoming.bytes += 1;
-        if incoming.error.is_some() {
+    /// Takes a byte of an event's data, and returns whether it completed an entry.
+    fn push_data(&mut self, byte: u8, event: &mut IncomingEvent) -> bool {
+        event.bytes += 1;
+        if event.error.is_some() {
             return false;
         }
-        match incoming.reader.byte(byte) {
-            Ok(Some(entry)) => self.table.stage(entry, &mut incoming.staged),
+        match event.reader.push(byte) {
+            Ok(Some(entry)) => self.table.stage(entry, &mut event.staged),
             Ok(None) => return false,
             Err(error) => {
-                incoming.error = Some(error);
-                incoming.staged = Staged::default();
+                event.error = Some(error);
+                event.staged = StagedEvent::default();
             }
         }
         true
     }
 
-    /// An event has come to its end. One that cannot be used is asked for once more, as it may have been spoilt on
-    /// its way; the second time what cannot be used of it is passed over, or the board would be called for ever.
-    fn event(&mut self, id: &str, incoming: Incoming) -> Result<(), WatchError> {
-        let number: u64 = id.parse().map_err(|_| WatchError::Number(id.to_owned()))?;
-        // Guards against events written twice: an old one would undo what came after it.
-        if number <= self.last {
+    /// Handles the end of an event. An invalid event is requested once more, as it may have been corrupted on its way.
+    /// If it is invalid again, the invalid part is skipped: otherwise the service would be asked for it for ever.
+    fn end_event(&mut self, id: &str, event: IncomingEvent) -> Result<(), ConnectionError> {
+        let number: u64 = id.parse().map_err(|_| ConnectionError::EventId(id.to_owned()))?;
+        // The service may send an event twice. An old one would undo the changes that followed it.
+        if number <= self.last_event {
             return Ok(());
         }
-        let Incoming { reader, staged, error, bytes } = incoming;
-        let read = error.map_or_else(|| reader.finish(), Err);
-        let fault = match &read {
-            Err(error) => Some(Fault::Event(*error)),
-            Ok(_) if !staged.unreadable.is_empty() => {
-                staged.unreadable.first().map(|u| Fault::Entry(u.problem.clone()))
+        let IncomingEvent { reader, staged, error, bytes } = event;
+        let result = error.map_or_else(|| reader.finish(), Err);
+        let problem = match &result {
+            Err(error) => Some(EventProblem::Event(*error)),
+            Ok(_) if !staged.invalid.is_empty() => {
+                staged.invalid.first().map(|i| EventProblem::Entry(i.reason.clone()))
+            }
+            Ok(false) if self.last_event > 0 && number > self.last_event + 1 => {
+                Some(EventProblem::Gap(self.last_event))
             }
-            Ok(false) if self.last > 0 && number > self.last + 1 => Some(Fault::Gap(self.last)),
             Ok(_) => None,
         };
-        if let Some(fault) = fault.filter(|_| self.spoilt != Some(number)) {
-            self.spoilt = Some(number);
-            return Err(WatchError::Spoilt { number, bytes, fault });
+        if let Some(problem) = problem.filter(|_| self.requested_again != Some(number)) {
+            self.requested_again = Some(number);
+            return Err(ConnectionError::RejectedEvent { number, bytes, problem });
         }
-        match read {
+        match result {
             Ok(full) => self.commit(full, staged),
-            Err(error) => note!("board: event {number} of {bytes} bytes cannot be used: {error}"),
+            Err(error) => {
+                note!("discovery: event {number} ({bytes} bytes) cannot be used and is skipped: {error}");
+            }
         }
-        (self.last, self.spoilt) = (number, None);
+        (self.last_event, self.requested_again) = (number, None);
         Ok(())
     }
 
-    fn commit(&mut self, full: bool, staged: Staged) {
-        let members = self.changed(full, staged);
-        self.tell(members);
+    fn commit(&mut self, full: bool, staged: StagedEvent) {
+        let members = self.apply(full, staged);
+        self.send_members(members);
     }
 
-    /// What an event changes.
-    fn changed(&mut self, full: bool, mut staged: Staged) -> Vec<Member> {
-        for unreadable in std::mem::take(&mut staged.unreadable) {
-            note!("board: an instance was skipped: {unreadable}");
+    /// Applies an event to the table, and returns the workers that it changes.
+    fn apply(&mut self, full: bool, mut staged: StagedEvent) -> Vec<Member> {
+        for invalid in std::mem::take(&mut staged.invalid) {
+            note!("discovery: skipped an instance of the worker list: {invalid}");
         }
         self.table.commit(full, staged)
     }
 
-    /// Tells the core what has changed. An event that changes nothing is told too: the first makes it ready.
-    fn tell(&self, members: Vec<Member>) {
+    /// Sends changes to the core. An event without changes is sent too: the first one makes the core ready.
+    fn send_members(&self, members: Vec<Member>) {
         let _ = self.core.send(Message::Members { source: Speech::Frames, full: false, members });
     }
 }
 
-/// A line of the log that is written when it changes; of those like it only their number is told.
+/// Logs a line when it differs from the one before, and counts repetitions.
 #[derive(Default)]
-struct Repeats {
+struct RepeatedLine {
     line: String,
-    more: u64,
+    repetitions: u64,
 }
 
-impl Repeats {
-    fn tell(&mut self, line: String) {
+impl RepeatedLine {
+    fn log(&mut self, line: String) {
         if line == self.line {
-            self.more += 1;
+            self.repetitions += 1;
             return;
         }
-        if self.more > 0 {
-            note!("{} ({} more times)", self.line, self.more);
+        if self.repetitions > 0 {
+            note!("{} (repeated {} more times)", self.line, self.repetitions);
         }
         note!("{line}");
-        (self.line, self.more) = (line, 0);
+        (self.line, self.repetitions) = (line, 0);
     }
 }
 
-/// Follows the board for ever: whenever the connection ends or the board moves it calls again, telling the
-/// last event seen.
-pub fn follow(board: &Board, mut follower: Follower, limits: &Limits, seed: u64) {
+/// Follows the worker list for ever. Whenever the connection ends or the address changes, it reconnects with a backoff
+/// and resumes after the last event.
+pub fn follow(service: &ServiceAddress, mut subscriber: Subscriber, limits: &Limits, seed: u64) {
     let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, seed);
-    let mut ends = Repeats::default();
+    let mut connection_ends = RepeatedLine::default();
     loop {
-        let (at, before) = (board.address(), follower.last);
-        if let Some(address) = at {
-            follower.is_lost();
-            if let Err(why) = watch(board, address, &mut follower, limits) {
-                follower.is_lost();
-                ends.tell(format!(
-                    "board: connection to {address} ended after event {}: {why}",
-                    follower.last
+        let (address, last_event) = (service.get(), subscriber.last_event);
+        if let Some(address) = address {
+            subscriber.report_lost();
+            if let Err(why) = run_connection(service, address, &mut subscriber, limits) {
+                subscriber.report_lost();
+                connection_ends.log(format!(
+                    "discovery: connection to {address} ended, last event {}: {why}",
+                    subscriber.last_event
                 ));
             }
         }
-        if follower.last != before || board.address() != at {
+        if subscriber.last_event != last_event || service.get() != address {
             backoff.reset();
         }
-        may::coroutine::sleep(backoff.wait());
+        may::coroutine::sleep(backoff.next_delay());
     }
 }
 
-/// One call of the board, until it ends.
-fn watch(
-    board: &Board, address: SocketAddr, follower: &mut Follower, limits: &Limits,
-) -> Result<(), WatchError> {
-    // However long workers may take to connect: what the board has to tell counts as told 4 s on.
-    let within = limits.connect.min(limits.board_silence / 2);
-    let mut stream = TcpStream::connect_timeout(&address, within)?;
+/// Connects to the service and receives events until the connection ends.
+fn run_connection(
+    service: &ServiceAddress, address: SocketAddr, subscriber: &mut Subscriber, limits: &Limits,
+) -> Result<(), ConnectionError> {
+    // A change counts as known to front ends 4 s after it is published, however long connects to workers may take.
+    let connect_timeout = limits.connect.min(limits.board_silence / 2);
+    let mut stream = TcpStream::connect_timeout(&address, connect_timeout)?;
     stream.set_read_timeout(Some(limits.board_check))?;
-    let call = format!(
+    let request = format!(
         "GET /board/poll HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
-        follower.last
+        subscriber.last_event
     );
-    stream.write_all(call.as_bytes())?;
-    let mut answer = Answer::new(follower, limits);
-    let mut heard = Instant::now();
-    let mut unsettled = false;
+    stream.write_all(request.as_bytes())?;
+    let mut response = ResponseReader::new(subscriber, limits);
+    let mut last_progress = Instant::now();
+    let mut progress_unreported = false;
     let mut ring = Ring::new(limits.client_ring);
     loop {
         match ring.fill(&mut stream) {
-            Ok(0) => return Err(WatchError::Closed),
+            Ok(0) => return Err(ConnectionError::Closed),
             Ok(_) => {}
-            // A word, and nothing behind it that is still to be read: the board has told what it had to tell.
+            // Progress followed by a pause between events: everything that the service had to send has been read.
             Err(e) if timed_out(&e) => {
-                if answer.incoming.is_none() && std::mem::take(&mut unsettled) {
-                    answer.follower.is_current();
+                if response.event.is_none() && std::mem::take(&mut progress_unreported) {
+                    response.subscriber.report_current();
                 }
             }
             Err(e) => return Err(e.into()),
         }
-        // Guards against waiting at an address where nothing is told any more.
-        if board.address() != Some(address) {
-            return Err(WatchError::Moved);
+        // The old address may stay open and send nothing any more.
+        if service.get() != Some(address) {
+            return Err(ConnectionError::AddressChanged);
         }
-        // Only a line or an entry that has ended is a word: a head or an event that never ends tells nothing.
-        let mut word = false;
+        // Only a complete line or entry counts as progress: a head or an event that never ends tells nothing.
+        let mut progress = false;
         while !ring.is_empty() {
-            let piece = ring.front().len();
-            for at in 0..piece {
-                word |= answer.byte(ring.front()[at])?;
+            let available = ring.front().len();
+            for index in 0..available {
+                progress |= response.push(ring.front()[index])?;
             }
-            ring.consume(piece);
+            ring.consume(available);
         }
-        if word {
-            heard = Instant::now();
-            unsettled = true;
-        } else if heard.elapsed() >= limits.board_silence {
-            return Err(WatchError::Silent);
+        if progress {
+            last_progress = Instant::now();
+            progress_unreported = true;
+        } else if last_progress.elapsed() >= limits.board_silence {
+            return Err(ConnectionError::Silent);
         }
     }
 }
 
-/// The board's answer as it arrives.
-struct Answer<'a> {
-    follower: &'a mut Follower,
-    most_head: usize,
+/// Parses the service's HTTP response as it arrives.
+struct ResponseReader<'a> {
+    subscriber: &'a mut Subscriber,
+    max_head: usize,
     head: Vec<u8>,
     body: Body,
     events: EventStream,
-    /// The event whose data is coming.
-    incoming: Option<Incoming>,
+    /// The event whose data is arriving.
+    event: Option<IncomingEvent>,
 }
 
-/// How the answer's body is coded.
+/// The transfer coding of the response's body.
 enum Body {
-    /// Its head has not been read yet.
+    /// The head has not been read yet.
     Unknown,
     Plain,
     Chunked(Chunked),
 }
 
-impl<'a> Answer<'a> {
-    fn new(follower: &'a mut Follower, limits: &Limits) -> Self {
+impl<'a> ResponseReader<'a> {
+    fn new(subscriber: &'a mut Subscriber, limits: &Limits) -> Self {
         let (head, body, events) = (Vec::new(), Body::Unknown, EventStream::default());
-        Answer { follower, most_head: limits.head, head, body, events, incoming: None }
+        ResponseReader { subscriber, max_head: limits.head, head, body, events, event: None }
     }
 
-    /// Takes the next byte; whether it completed a word.
-    fn byte(&mut self, byte: u8) -> Result<bool, WatchError> {
+    /// Takes the next byte, and returns whether it completed a line or an entry.
+    fn push(&mut self, byte: u8) -> Result<bool, ConnectionError> {
         let content = match &mut self.body {
-            Body::Unknown => return self.head_byte(byte).map(|()| false),
+            Body::Unknown => return self.push_head(byte).map(|()| false),
             Body::Plain => Some(byte),
-            Body::Chunked(coding) => match coding.byte(byte).map_err(WatchError::Http)? {
+            Body::Chunked(coding) => match coding.byte(byte).map_err(ConnectionError::Http)? {
                 Coded::Byte(byte) => Some(byte),
                 Coded::Nothing => None,
-                Coded::End => return Err(WatchError::Closed),
+                Coded::End => return Err(ConnectionError::Closed),
             },
         };
-        match content.and_then(|byte| self.events.byte(byte)) {
+        match content.and_then(|byte| self.events.push(byte)) {
             None => Ok(false),
             Some(StreamItem::Data(byte)) => {
-                let incoming = self.incoming.get_or_insert_with(|| self.follower.begin());
-                Ok(self.follower.data(byte, incoming))
+                let event = self.event.get_or_insert_with(|| self.subscriber.begin_event());
+                Ok(self.subscriber.push_data(byte, event))
             }
             Some(StreamItem::Line) => {
-                // The lines of an event's data are one text.
-                if let Some(incoming) = &mut self.incoming {
-                    self.follower.data(b'\n', incoming);
+                // An event's data lines are joined by line feeds.
+                if let Some(event) = &mut self.event {
+                    self.subscriber.push_data(b'\n', event);
                 }
                 Ok(true)
             }
             Some(StreamItem::Event) => {
-                let event = self.incoming.take();
-                event.map_or(Ok(()), |event| self.follower.event(self.events.id(), event)).map(|()| true)
+                let event = self.event.take();
+                event
+                    .map_or(Ok(()), |event| self.subscriber.end_event(self.events.id(), event))
+                    .map(|()| true)
             }
         }
     }
 
-    fn head_byte(&mut self, byte: u8) -> Result<(), WatchError> {
+    fn push_head(&mut self, byte: u8) -> Result<(), ConnectionError> {
         self.head.push(byte);
         if self.head.ends_with(b"\r\n\r\n") {
-            let answer = Head::answer(&self.head).map_err(WatchError::Http)?;
-            if answer.status != 200 {
-                return Err(WatchError::Status(answer.status));
+            let head = Head::answer(&self.head).map_err(ConnectionError::Http)?;
+            if head.status != 200 {
+                return Err(ConnectionError::Status(head.status));
             }
-            self.body = if answer.chunked { Body::Chunked(Chunked::default()) } else { Body::Plain };
+            self.body = if head.chunked { Body::Chunked(Chunked::default()) } else { Body::Plain };
             self.head = Vec::new();
-        } else if self.head.len() > self.most_head {
-            return Err(WatchError::Http("the answer's head is too long".to_owned()));
+        } else if self.head.len() > self.max_head {
+            return Err(ConnectionError::Http("the response's head is too long".to_owned()));
         }
         Ok(())
     }
--- a/heronslip/src/discovery/event_stream.rs
+++ b/heronslip/src/discovery/event_stream.rs
@@ -1,70 +1,71 @@
-//! Server-sent events as they arrive: fields are handed on at once, nothing but a line's beginning is held.
+//! An incremental parser of server-sent events. Data is handed on byte by byte as it arrives; only the start of the
+//! current field's name, or of an event's id, is buffered.
 
-/// Longest name of a field, and longest value of an `id`, that is looked at.
-const LONGEST_WORD: usize = 32;
+/// Most bytes of a field's name or of an `id` that are looked at: longer ones mean nothing here.
+const MAX_TOKEN_BYTES: usize = 32;
 
 /// What a byte of the stream completes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// A byte of an event's data.
     Data(u8),
-    /// A line has ended; more of the event may follow.
+    /// A line that does not end an event.
     Line,
-    /// The event has ended.
+    /// An event.
     Event,
 }
 
 /// The part of a line that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Field {
-    /// Its name.
+enum LinePart {
+    /// The field's name.
     Name,
-    /// The blank that may follow the colon.
-    Blank(Value),
-    /// Its value.
-    Value(Value),
+    /// The optional space after the colon.
+    Space(FieldKind),
+    /// The field's value.
+    Value(FieldKind),
 }
 
-/// Which field a value belongs to.
+/// Which field a line holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Value {
+enum FieldKind {
     Id,
     Data,
-    /// A comment or a field without meaning here.
-    Other,
+    /// A comment or a field that is ignored.
+    Ignored,
 }
 
-/// Splits a stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug)]
 pub struct EventStream {
-    field: Field,
-    /// The name, or the value of an id, of the present line.
-    word: Vec<u8>,
-    /// The last id told.
+    line_part: LinePart,
+    /// The current line's field name, or the value of its id.
+    token: Vec<u8>,
+    /// The last id that was read.
     id: String,
-    /// Whether the present event has data.
-    data: bool,
+    /// Whether the current event has data.
+    has_data: bool,
 }
 
 impl Default for EventStream {
     fn default() -> Self {
-        EventStream { field: Field::Name, word: Vec::new(), id: String::new(), data: false }
+        EventStream { line_part: LinePart::Name, token: Vec::new(), id: String::new(), has_data: false }
     }
 }
 
 impl EventStream {
-    /// Takes the next byte; tells what it completes, if that matters.
-    pub fn byte(&mut self, byte: u8) -> Option<StreamItem> {
+    /// Takes the next byte and returns what it completes, if anything.
+    pub fn push(&mut self, byte: u8) -> Option<StreamItem> {
         if byte == b'\n' {
-            return Some(self.end_of_line());
+            return Some(self.end_line());
         }
-        match self.field {
-            Field::Name if byte == b':' => self.field = Field::Blank(self.named()),
-            Field::Name => self.keep(byte),
-            Field::Blank(value) if byte == b' ' => self.field = Field::Value(value),
-            Field::Blank(value) | Field::Value(value) => {
-                self.field = Field::Value(value);
-                return self.value(value, byte);
+        match self.line_part {
+            LinePart::Name if byte == b':' => self.line_part = LinePart::Space(self.take_field_kind()),
+            LinePart::Name => self.push_token(byte),
+            LinePart::Space(kind) if byte == b' ' => self.line_part = LinePart::Value(kind),
+            LinePart::Space(kind) | LinePart::Value(kind) => {
+                self.line_part = LinePart::Value(kind);
+                return self.push_value(kind, byte);
             }
         }
         None
@@ -75,41 +76,41 @@
         &self.id
     }
 
-    fn keep(&mut self, byte: u8) {
-        if self.word.len() <= LONGEST_WORD {
-            self.word.push(byte);
+    fn push_token(&mut self, byte: u8) {
+        if self.token.len() <= MAX_TOKEN_BYTES {
+            self.token.push(byte);
         }
     }
 
-    /// The field whose name has been read.
-    fn named(&mut self) -> Value {
-        match std::mem::take(&mut self.word).as_slice() {
-            b"id" => Value::Id,
-            b"data" => Value::Data,
-            _ => Value::Other,
+    /// The kind of the field whose name has been read.
+    fn take_field_kind(&mut self) -> FieldKind {
+        match std::mem::take(&mut self.token).as_slice() {
+            b"id" => FieldKind::Id,
+            b"data" => FieldKind::Data,
+            _ => FieldKind::Ignored,
         }
     }
 
-    fn value(&mut self, value: Value, byte: u8) -> Option<StreamItem> {
-        match value {
-            Value::Id => self.keep(byte),
-            Value::Data => {
-                self.data = true;
+    fn push_value(&mut self, kind: FieldKind, byte: u8) -> Option<StreamItem> {
+        match kind {
+            FieldKind::Id => self.push_token(byte),
+            FieldKind::Data => {
+                self.has_data = true;
                 return Some(StreamItem::Data(byte));
             }
-            Value::Other => {}
+            FieldKind::Ignored => {}
         }
         None
     }
 
-    fn end_of_line(&mut self) -> StreamItem {
-        let word = std::mem::take(&mut self.word);
-        match std::mem::replace(&mut self.field, Field::Name) {
-            Field::Name if word.is_empty() || word == b"\r" => {
-                return if std::mem::take(&mut self.data) { StreamItem::Event } else { StreamItem::Line };
+    fn end_line(&mut self) -> StreamItem {
+        let token = std::mem::take(&mut self.token);
+        match std::mem::replace(&mut self.line_part, LinePart::Name) {
+            LinePart::Name if token.is_empty() || token == b"\r" => {
+                return if std::mem::take(&mut self.has_data) { StreamItem::Event } else { StreamItem::Line };
             }
-            Field::Blank(Value::Id) | Field::Value(Value::Id) => {
-                let id = String::from_utf8_lossy(&word).into_owned();
+            LinePart::Space(FieldKind::Id) | LinePart::Value(FieldKind::Id) => {
+                let id = String::from_utf8_lossy(&token).into_owned();
                 id.trim_end_matches('\r').clone_into(&mut self.id);
             }
             _ => {}
--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -1,4 +1,4 @@
-//! One entry of the board's list.
+//! Parses one entry of the discovery service's worker list.
 use crate::messages::{Member, Speech};
 use heronslip_policy::json::{parse, span, text, whole};
 use heronslip_policy::WorkerState;
@@ -6,39 +6,39 @@
 
 /// An entry that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{problem}")]
-pub struct Unreadable {
-    /// The worker it names, where that could be read.
+#[error("{reason}")]
+pub struct InvalidInstance {
+    /// The worker that it names, where that can be read.
     pub id: Option<String>,
-    /// What is wrong.
-    pub problem: String,
+    /// What is wrong with it.
+    pub reason: String,
 }
 
-/// Reads an entry from its JSON text.
+/// Parses an entry from its JSON text.
 ///
 /// # Errors
-/// Tells what cannot be used of it, and the worker it names where that can be read.
-pub fn instance(text: &[u8]) -> Result<Member, Unreadable> {
-    let parsed = std::str::from_utf8(text).ok().and_then(|t| parse(t).ok());
+/// Returns why the entry cannot be used, and the worker that it names where that can be read.
+pub fn parse_instance(json: &[u8]) -> Result<Member, InvalidInstance> {
+    let parsed = std::str::from_utf8(json).ok().and_then(|t| parse(t).ok());
     let Some(Value::Object(fields)) = parsed else {
-        return Err(Unreadable { id: None, problem: "an instance that is no object".to_owned() });
+        return Err(InvalidInstance { id: None, reason: "the instance is not a JSON object".to_owned() });
     };
-    member(&fields).map_err(|problem| {
-        let id = heronslip_policy::json::text(&fields, "instanceId").map(str::to_owned);
-        Unreadable { id, problem }
+    member(&fields).map_err(|reason| {
+        let id = text(&fields, "instanceId").map(str::to_owned);
+        InvalidInstance { id, reason }
     })
 }
 
 fn member(fields: &Object) -> Result<Member, String> {
-    let word = |key: &str| text(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
-    let (id, address) = (word("instanceId")?.to_owned(), word("hostPort")?);
+    let required = |key: &str| text(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
+    let (id, address) = (required("instanceId")?.to_owned(), required("hostPort")?);
     Ok(Member {
-        address: address.parse().map_err(|_| format!("{id}: address {address}"))?,
-        state: match word("lifecycle")? {
+        address: address.parse().map_err(|_| format!("{id}: invalid address {address}"))?,
+        state: match required("lifecycle")? {
             "ready" => WorkerState::Ready,
             "draining" => WorkerState::Draining,
             "gone" => WorkerState::Gone,
-            other => return Err(format!("{id}: state {other}")),
+            other => return Err(format!("{id}: unknown lifecycle {other}")),
         },
         started_at: span(fields, "startedAtMs"),
         zone: text(fields, "zone").unwrap_or_default().to_owned(),
--- a/heronslip/src/discovery/json_array.rs
+++ b/heronslip/src/discovery/json_array.rs
@@ -1,237 +1,244 @@
-//! Finds the elements of one array inside a JSON text while the text arrives, byte by byte.
+//! An incremental scanner that finds the elements of one array inside a JSON text while the text arrives.
 //!
-//! Only one element has to be held at a time, whatever the length of the array. All that stands outside the array
-//! is kept as a JSON text of its own in which the array is empty, and can be parsed once the text has ended.
+//! The caller needs to hold only one element at a time, whatever the length of the array. Everything outside the array
+//! is kept as a JSON text in which the array is empty, and can be parsed once the text has ended.
 
-/// What is wrong with a text, or too much of it.
+/// Why a text cannot be scanned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScanError {
-    /// Elements are not separated as JSON wants it, or brackets do not match.
-    #[error("it is no JSON object")]
+    /// Elements are not separated as JSON requires, brackets do not match, or the text is not one object.
+    #[error("not a JSON object")]
     Malformed,
-    /// More stands outside the array than is kept.
-    #[error("more than {0} bytes beside its entries")]
+    /// There is more text outside the array than the scanner keeps.
+    #[error("more than {0} bytes outside the list")]
     OutsideTooLong(usize),
 }
 
-/// Where a byte belongs.
+/// Where a byte is, relative to the array's elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Outside of any element.
+pub enum BytePosition {
+    /// Outside all elements.
     Outside,
-    /// Inside an element, which goes on.
+    /// Inside an element that continues.
     Inside,
     /// The last byte of an element.
     Last,
-    /// Outside; an element, a bare number or word, has ended before it.
+    /// The first byte after an element that is a number or a literal: only this byte shows that the element has ended.
     After,
 }
 
 /// What may come next between the array's elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Between {
+enum Expected {
     /// The first element, or the array's end.
-    First,
+    ElementOrEnd,
     /// A comma, or the array's end.
-    Comma,
+    CommaOrEnd,
     /// An element.
     Element,
 }
 
-/// What kind of value an element is, and how far it has come.
+/// The kind and state of an element that is being read.
 #[derive(Clone, Copy, Debug)]
 enum Element {
-    /// An object or array: brackets open, and whether a string is.
-    Nested { depth: usize, string: Option<Escape> },
-    /// A string.
-    Text(Escape),
-    /// A number or a word.
-    Bare,
+    /// An object or array: the number of open brackets, and the string inside it that is being read.
+    Nested {
+        depth: usize,
+        string: Option<StringState>,
+    },
+    String(StringState),
+    /// A number or a literal.
+    Scalar,
 }
 
-/// Whether the last byte of a string was a backslash that escapes the next.
+/// The state of a string that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Escape(bool);
+struct StringState {
+    /// Whether the last byte was a backslash that escapes the next.
+    escaped: bool,
+}
 
-impl Escape {
-    /// Takes the next byte of a string; nothing once the string has ended.
-    fn next(self, byte: u8) -> Option<Escape> {
+impl StringState {
+    /// The state after the next byte; nothing once the string has ended.
+    fn next(self, byte: u8) -> Option<StringState> {
         match byte {
-            _ if self.0 => Some(Escape(false)),
-            b'\\' => Some(Escape(true)),
+            _ if self.escaped => Some(StringState { escaped: false }),
+            b'\\' => Some(StringState { escaped: true }),
             b'"' => None,
-            _ => Some(Escape(false)),
+            _ => Some(StringState { escaped: false }),
         }
     }
 }
 
-/// Longest key that is compared with the path's.
-const LONGEST_KEY: usize = 32;
+/// Most bytes of a key that are compared: keys of a path are shorter.
+const MAX_KEY_BYTES: usize = 32;
 
-/// Scans a text for the array at `object.array` of its outermost object.
+/// Scans a JSON text for the array at the path `[object, array]` of its outermost object.
 #[derive(Debug)]
 pub struct ArrayScanner {
     path: [&'static str; 2],
+    /// Open brackets outside the array.
     depth: usize,
-    /// The string outside that is being read.
-    string: Option<Escape>,
-    /// The last string read outside, as far as it is compared.
+    /// The string outside the array that is being read.
+    string: Option<StringState>,
+    /// The start of the last string that was read outside the array.
     key: Vec<u8>,
-    /// The value that comes next is the one that the path names.
-    named: bool,
-    /// The object of the path is open.
-    inside_object: bool,
-    /// The array of the path is open.
-    array: Option<Between>,
+    /// Whether the next value is the one that the path names.
+    key_matched: bool,
+    /// Whether the path's object is open.
+    in_path_object: bool,
+    /// While the path's array is open and no element is being read: what may come next.
+    array: Option<Expected>,
     element: Option<Element>,
+    /// The text outside the array.
     outside: Vec<u8>,
-    most_outside: usize,
+    max_outside: usize,
 }
 
 impl ArrayScanner {
-    /// A scanner for this path that keeps at most so many bytes of what stands outside the array.
-    pub fn new(path: [&'static str; 2], most_outside: usize) -> Self {
+    /// A scanner for this path that keeps at most `max_outside` bytes outside the array.
+    pub fn new(path: [&'static str; 2], max_outside: usize) -> Self {
         ArrayScanner {
             path,
             depth: 0,
             string: None,
             key: Vec::new(),
-            named: false,
-            inside_object: false,
+            key_matched: false,
+            in_path_object: false,
             array: None,
             element: None,
             outside: Vec::new(),
-            most_outside,
+            max_outside,
         }
     }
 
-    /// Takes the next byte and tells where it belongs.
+    /// Takes the next byte and returns where it is.
     ///
     /// # Errors
-    /// Fails where the text cannot be JSON, or too much of it stands outside the array.
-    pub fn byte(&mut self, byte: u8) -> Result<Place, ScanError> {
+    /// Fails if the text is not a JSON object, or too much of it is outside the array.
+    pub fn push(&mut self, byte: u8) -> Result<BytePosition, ScanError> {
         match (self.element.take(), self.array) {
-            (Some(element), _) => self.inside(element, byte),
-            (None, Some(between)) => self.between(between, byte),
-            (None, None) => self.outside(byte).map(|()| Place::Outside),
+            (Some(element), _) => self.push_inside(element, byte),
+            (None, Some(expected)) => self.push_between(expected, byte),
+            (None, None) => self.push_outside(byte).map(|()| BytePosition::Outside),
         }
     }
 
-    /// The text outside the array, with the array empty, once the outermost object has ended.
+    /// Ends the text, and returns it with the array empty.
     ///
     /// # Errors
-    /// Fails if it has not.
+    /// Fails if the outermost object has not ended.
     pub fn finish(self) -> Result<Vec<u8>, ScanError> {
-        let whole = self.depth == 0 && self.string.is_none() && !self.outside.is_empty();
-        whole.then_some(self.outside).ok_or(ScanError::Malformed)
+        let complete = self.depth == 0 && self.string.is_none() && !self.outside.is_empty();
+        complete.then_some(self.outside).ok_or(ScanError::Malformed)
     }
 
-    fn inside(&mut self, element: Element, byte: u8) -> Result<Place, ScanError> {
+    fn push_inside(&mut self, element: Element, byte: u8) -> Result<BytePosition, ScanError> {
         let next = match element {
-            Element::Text(escape) => escape.next(byte).map(Element::Text),
-            Element::Nested { depth, string: Some(escape) } => {
-                Some(Element::Nested { depth, string: escape.next(byte) })
+            Element::String(string) => string.next(byte).map(Element::String),
+            Element::Nested { depth, string: Some(string) } => {
+                Some(Element::Nested { depth, string: string.next(byte) })
             }
             Element::Nested { depth, string: None } => match byte {
-                b'"' => Some(Element::Nested { depth, string: Some(Escape(false)) }),
+                b'"' => Some(Element::Nested { depth, string: Some(StringState { escaped: false }) }),
                 b'{' | b'[' => Some(Element::Nested { depth: depth + 1, string: None }),
                 b'}' | b']' if depth == 1 => None,
                 b'}' | b']' => Some(Element::Nested { depth: depth - 1, string: None }),
                 _ => Some(Element::Nested { depth, string: None }),
             },
-            Element::Bare if matches!(byte, b',' | b']') || byte.is_ascii_whitespace() => {
-                self.between(Between::Comma, byte)?;
-                return Ok(Place::After);
+            Element::Scalar if matches!(byte, b',' | b']') || byte.is_ascii_whitespace() => {
+                self.push_between(Expected::CommaOrEnd, byte)?;
+                return Ok(BytePosition::After);
             }
-            Element::Bare => Some(Element::Bare),
+            Element::Scalar => Some(Element::Scalar),
         };
         self.element = next;
         if self.element.is_some() {
-            return Ok(Place::Inside);
+            return Ok(BytePosition::Inside);
         }
-        self.array = Some(Between::Comma);
-        Ok(Place::Last)
+        self.array = Some(Expected::CommaOrEnd);
+        Ok(BytePosition::Last)
     }
 
-    fn between(&mut self, between: Between, byte: u8) -> Result<Place, ScanError> {
-        match (between, byte) {
-            (_, b) if b.is_ascii_whitespace() => self.array = Some(between),
-            (Between::First | Between::Comma, b']') => {
+    fn push_between(&mut self, expected: Expected, byte: u8) -> Result<BytePosition, ScanError> {
+        match (expected, byte) {
+            (_, b) if b.is_ascii_whitespace() => self.array = Some(expected),
+            (Expected::ElementOrEnd | Expected::CommaOrEnd, b']') => {
                 self.array = None;
-                return self.outside(byte).map(|()| Place::Outside);
+                return self.push_outside(byte).map(|()| BytePosition::Outside);
             }
-            (Between::Comma, b',') => self.array = Some(Between::Element),
-            (Between::Comma, _) | (_, b',' | b']' | b'}' | b':') => return Err(ScanError::Malformed),
-            (Between::First | Between::Element, _) => {
+            (Expected::CommaOrEnd, b',') => self.array = Some(Expected::Element),
+            (Expected::CommaOrEnd, _) | (_, b',' | b']' | b'}' | b':') => return Err(ScanError::Malformed),
+            (Expected::ElementOrEnd | Expected::Element, _) => {
                 self.element = Some(match byte {
                     b'{' | b'[' => Element::Nested { depth: 1, string: None },
-                    b'"' => Element::Text(Escape(false)),
-                    _ => Element::Bare,
+                    b'"' => Element::String(StringState { escaped: false }),
+                    _ => Element::Scalar,
                 });
-                return Ok(Place::Inside);
+                return Ok(BytePosition::Inside);
             }
         }
-        Ok(Place::Outside)
+        Ok(BytePosition::Outside)
     }
 
-    fn outside(&mut self, byte: u8) -> Result<(), ScanError> {
+    fn push_outside(&mut self, byte: u8) -> Result<(), ScanError> {
         if self.depth == 0 && byte.is_ascii_whitespace() {
             return Ok(());
         }
-        if self.outside.len() >= self.most_outside {
-            return Err(ScanError::OutsideTooLong(self.most_outside));
+        if self.outside.len() >= self.max_outside {
+            return Err(ScanError::OutsideTooLong(self.max_outside));
         }
         let ended = self.depth == 0 && !self.outside.is_empty();
         if ended || self.depth == 0 && byte != b'{' {
             return Err(ScanError::Malformed);
         }
         self.outside.push(byte);
-        if let Some(escape) = self.string {
-            self.string = escape.next(byte);
-            if self.string.is_some() && self.key.len() <= LONGEST_KEY {
+        if let Some(string) = self.string {
+            self.string = string.next(byte);
+            if self.string.is_some() && self.key.len() <= MAX_KEY_BYTES {
                 self.key.push(byte);
             }
             return Ok(());
         }
         match byte {
             b'"' => {
-                self.string = Some(Escape(false));
+                self.string = Some(StringState { escaped: false });
                 self.key.clear();
-                self.named = false;
+                self.key_matched = false;
             }
-            b':' => self.named = self.names(),
+            b':' => self.key_matched = self.key_matches_path(),
             b'{' | b'[' => self.open(byte),
             b'}' | b']' => self.close()?,
             b if b.is_ascii_whitespace() => {}
-            _ => self.named = false,
+            _ => self.key_matched = false,
         }
         Ok(())
     }
 
-    /// Whether the key just read is the next one of the path.
-    fn names(&self) -> bool {
-        let wanted = match (self.depth, self.inside_object) {
+    /// Whether the key that was read last is the next one of the path.
+    fn key_matches_path(&self) -> bool {
+        let expected = match (self.depth, self.in_path_object) {
             (1, _) => self.path[0],
             (2, true) => self.path[1],
             _ => return false,
         };
-        self.key == wanted.as_bytes()
+        self.key == expected.as_bytes()
     }
 
     fn open(&mut self, byte: u8) {
-        let named = std::mem::take(&mut self.named);
+        let key_matched = std::mem::take(&mut self.key_matched);
         self.depth += 1;
         match (byte, self.depth) {
-            (b'{', 2) => self.inside_object = named,
-            (b'[', 3) if named => self.array = Some(Between::First),
+            (b'{', 2) => self.in_path_object = key_matched,
+            (b'[', 3) if key_matched => self.array = Some(Expected::ElementOrEnd),
             _ => {}
         }
     }
 
     fn close(&mut self) -> Result<(), ScanError> {
-        self.named = false;
+        self.key_matched = false;
         self.depth = self.depth.checked_sub(1).ok_or(ScanError::Malformed)?;
-        self.inside_object &= self.depth >= 2;
+        self.in_path_object &= self.depth >= 2;
         Ok(())
     }
 }
--- a/heronslip/src/discovery/list_event.rs
+++ b/heronslip/src/discovery/list_event.rs
@@ -1,25 +1,25 @@
-//! Reads one event of the list of workers while it arrives: entry by entry, bounded by the number of entries and
-//! by the size of one, not by the size of the event.
-use super::instance::{instance, Unreadable};
-use super::json_array::{ArrayScanner, Place, ScanError};
+//! Parses one event of the worker list while it arrives, entry by entry. Memory is bounded by the number of entries
+//! and the size of one entry, not by the size of the event.
+use super::instance::{parse_instance, InvalidInstance};
+use super::json_array::{ArrayScanner, BytePosition, ScanError};
 use crate::messages::Member;
 use heronslip_policy::json::{flag, parse, part};
 use miniserde::json::Value;
 
-/// Most bytes of an event beside its entries.
-const MOST_OUTSIDE: usize = 4 * 1024;
+/// Most bytes of an event outside its entries.
+const MAX_OUTSIDE_BYTES: usize = 4 * 1024;
 
 /// Why an event cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// It is not in the board's form.
+    /// It is not the JSON that the discovery service sends.
     #[error(transparent)]
     Scan(#[from] ScanError),
     /// It has no list.
-    #[error("it has no 'pool'")]
+    #[error("the event has no 'pool'")]
     NoPool,
-    /// It claims to be whole and has no entries: what is known would all be left out.
-    #[error("a whole list without 'instances'")]
+    /// It says that it is a full list, but has no entries. Applying it would remove every known worker.
+    #[error("a full list without 'instances'")]
     NoInstances,
     /// One of its entries is too long.
     #[error("an entry of more than {0} bytes")]
@@ -32,13 +32,13 @@
 /// Bounds of an event.
 #[derive(Clone, Copy, Debug)]
 pub struct EventBounds {
-    /// Bytes of one entry.
+    /// Most bytes of one entry.
     pub entry_bytes: usize,
-    /// Entries.
+    /// Most entries.
     pub entries: usize,
 }
 
-/// Reads an event byte by byte.
+/// Parses an event byte by byte.
 #[derive(Debug)]
 pub struct EventReader {
     scanner: ArrayScanner,
@@ -51,43 +51,43 @@
 impl EventReader {
     /// A reader for one event.
     pub fn new(bounds: EventBounds) -> Self {
-        let scanner = ArrayScanner::new(["pool", "instances"], MOST_OUTSIDE);
+        let scanner = ArrayScanner::new(["pool", "instances"], MAX_OUTSIDE_BYTES);
         EventReader { scanner, bounds, entry: Vec::new(), entries: 0, bytes: 0 }
     }
 
-    /// Takes the next byte; an entry once it has come whole, as far as it can be read.
+    /// Takes the next byte. Returns an entry, or why it is invalid, once it is complete.
     ///
     /// # Errors
-    /// Fails where the event cannot be used, whatever follows.
-    pub fn byte(&mut self, byte: u8) -> Result<Option<Result<Member, Unreadable>>, EventError> {
+    /// Fails if the event cannot be used, whatever follows.
+    pub fn push(&mut self, byte: u8) -> Result<Option<Result<Member, InvalidInstance>>, EventError> {
         self.bytes += 1;
-        match self.scanner.byte(byte)? {
-            Place::Outside => return Ok(None),
-            Place::Inside => {
-                self.keep(byte)?;
+        match self.scanner.push(byte)? {
+            BytePosition::Outside => return Ok(None),
+            BytePosition::Inside => {
+                self.push_entry_byte(byte)?;
                 return Ok(None);
             }
-            Place::Last => self.keep(byte)?,
-            Place::After => {}
+            BytePosition::Last => self.push_entry_byte(byte)?,
+            BytePosition::After => {}
         }
         self.entries += 1;
         if self.entries > self.bounds.entries {
             return Err(EventError::TooManyEntries(self.bounds.entries));
         }
-        let read = instance(&self.entry);
+        let entry = parse_instance(&self.entry);
         self.entry.clear();
-        Ok(Some(read))
+        Ok(Some(entry))
     }
 
-    /// Bytes taken so far.
+    /// Bytes read so far.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Ends the event; tells whether it is the whole list.
+    /// Ends the event, and returns whether it is a full list.
     ///
     /// # Errors
-    /// Fails if it was cut off or is not in the board's form.
+    /// Fails if the event is cut off or is not what the discovery service sends.
     pub fn finish(self) -> Result<bool, EventError> {
         let outside = String::from_utf8(self.scanner.finish()?).map_err(|_| ScanError::Malformed)?;
         let Ok(Value::Object(event)) = parse(&outside) else { return Err(ScanError::Malformed.into()) };
@@ -99,7 +99,7 @@
         Ok(full)
     }
 
-    fn keep(&mut self, byte: u8) -> Result<(), EventError> {
+    fn push_entry_byte(&mut self, byte: u8) -> Result<(), EventError> {
         if self.entry.len() >= self.bounds.entry_bytes {
             return Err(EventError::EntryTooLong(self.bounds.entry_bytes));
         }
--- a/heronslip/src/discovery/mod.rs
+++ b/heronslip/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! The list of workers: followed from the notice board by events, or read from a file of endpoints.
+//! Worker discovery: the worker list, followed by events from the discovery service or read from a file of endpoints.
 //!
-//! What holds whatever the board sends: an event counts as a whole or not at all, one that cannot be used leaves
-//! the list as it was, and entries that tell nothing new reach nobody. Memory while an event arrives follows what
-//! it changes, not its size. After a break the board is asked for what came after the last event that counted.
+//! Whatever the service sends: an event applies as a whole or not at all, an event that cannot be used leaves the
+//! list as it was, and entries that repeat what is known are not passed on. The memory that an arriving event takes
+//! depends on what it changes, not on its size. After a connection ends, the service is asked for the events that
+//! follow the last one that was applied.
 pub mod backoff;
 pub mod client;
 pub mod event_stream;
@@ -12,19 +13,19 @@
 pub mod table;
 mod xds;
 
-pub use client::{follow, Board, Follower};
+pub use client::{follow, ServiceAddress, Subscriber};
 pub use list_event::{EventBounds, EventError, EventReader};
-pub use table::Table;
-pub use xds::endpoints;
+pub use table::WorkerTable;
+pub use xds::parse_endpoints;
 
 use crate::messages::Member;
-use instance::Unreadable;
+use instance::InvalidInstance;
 
-/// An event of the list, read whole.
+/// A complete event of the worker list.
 #[derive(Debug)]
 pub struct ListEvent {
-    /// Whether this is the whole list.
+    /// Whether the event is a full list, rather than a change to the list.
     pub full: bool,
-    /// Its entries, as far as each can be read.
-    pub entries: Vec<Result<Member, Unreadable>>,
+    /// The entries; each is invalid by itself if it cannot be parsed.
+    pub entries: Vec<Result<Member, InvalidInstance>>,
 }
--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -1,5 +1,5 @@
-//! What the board has told of each worker, so that only what changes goes on to the core.
-use super::instance::Unreadable;
+//! The worker list as the discovery service last sent it, kept so that only changes are passed on to the core.
+use super::instance::InvalidInstance;
 use crate::messages::{Member, Speech};
 use heronslip_policy::WorkerState;
 use std::collections::HashMap;
@@ -8,34 +8,36 @@
 
 /// A listed worker.
 #[derive(Debug)]
-struct Listed {
-    /// Stands for all that the list tells of it.
+struct ListedWorker {
+    /// Hash of everything that the list says of the worker.
     fingerprint: u64,
     address: SocketAddr,
-    /// The last event that named it, by the table's count.
-    named_in: u32,
-    /// Whether that event changes it.
-    changed: bool,
+    /// The table's number of the last event that named the worker.
+    last_event: u32,
+    /// Whether that event changes the worker.
+    changed_by_event: bool,
 }
 
-/// The list as the board told it last.
+/// The worker list.
 ///
-/// An event is staged entry by entry and changes nothing before it is committed: one that breaks off leaves the
+/// An event is staged entry by entry and changes nothing before it is committed, so an event that breaks off leaves the
 /// list as it was.
 #[derive(Debug, Default)]
-pub struct Table {
-    listed: HashMap<Box<str>, Listed>,
-    /// Workers listed at each address. Where there are several the core has to choose again each time.
-    at: HashMap<SocketAddr, u32>,
+pub struct WorkerTable {
+    listed: HashMap<Box<str>, ListedWorker>,
+    /// How many workers are listed at each address. The core keeps only one worker per address, so entries of workers
+    /// that share one are always passed on.
+    workers_at: HashMap<SocketAddr, u32>,
+    /// Number of the current event.
     event: u32,
 }
 
-/// An event on its way.
+/// The changes of an event that is being read.
 #[derive(Debug, Default)]
-pub struct Staged {
+pub struct StagedEvent {
     changed: Vec<Member>,
-    /// Entries that could not be read.
-    pub unreadable: Vec<Unreadable>,
+    /// Entries that cannot be used.
+    pub invalid: Vec<InvalidInstance>,
 }
 
 fn fingerprint(member: &Member) -> u64 {
@@ -46,62 +48,63 @@
     hasher.finish()
 }
 
-impl Table {
-    /// Begins an event; what was staged of another is to be dropped.
-    pub fn begin(&mut self) -> Staged {
+impl WorkerTable {
+    /// Begins an event. The caller drops any other staged event.
+    pub fn begin_event(&mut self) -> StagedEvent {
         self.event = self.event.wrapping_add(1);
-        Staged::default()
+        StagedEvent::default()
     }
 
-    /// Stages an entry, unless it tells what is known already.
-    pub fn stage(&mut self, entry: Result<Member, Unreadable>, staged: &mut Staged) {
+    /// Stages an entry, unless it repeats what is known.
+    pub fn stage(&mut self, entry: Result<Member, InvalidInstance>, staged: &mut StagedEvent) {
         let member = match entry {
             Ok(member) => member,
-            Err(unreadable) => {
-                if let Some(listed) = unreadable.id.as_deref().and_then(|id| self.listed.get_mut(id)) {
-                    (listed.named_in, listed.changed) = (self.event, false);
+            Err(invalid) => {
+                if let Some(listed) = invalid.id.as_deref().and_then(|id| self.listed.get_mut(id)) {
+                    (listed.last_event, listed.changed_by_event) = (self.event, false);
                 }
-                staged.unreadable.push(unreadable);
+                staged.invalid.push(invalid);
                 return;
             }
         };
         if let Some(listed) = self.listed.get_mut(member.id.as_str()) {
-            let named_before = listed.named_in == self.event && listed.changed;
-            let contested = self.at.get(&listed.address).is_some_and(|&n| n > 1);
-            let same = listed.fingerprint == fingerprint(&member) && !contested;
-            (listed.named_in, listed.changed) = (self.event, named_before || !same);
-            if same && !named_before {
+            let changed_before = listed.last_event == self.event && listed.changed_by_event;
+            let shares_address = self.workers_at.get(&listed.address).is_some_and(|&n| n > 1);
+            let same = listed.fingerprint == fingerprint(&member) && !shares_address;
+            (listed.last_event, listed.changed_by_event) = (self.event, changed_before || !same);
+            if same && !changed_before {
                 return;
             }
         }
         staged.changed.push(member);
     }
 
-    /// Takes an event over; what the core is to be told of it. A whole list leaves out whoever it does not name.
-    pub fn commit(&mut self, full: bool, staged: Staged) -> Vec<Member> {
-        let mut told = Vec::new();
+    /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that it does
+    /// not name.
+    pub fn commit(&mut self, full: bool, staged: StagedEvent) -> Vec<Member> {
+        let mut changes = Vec::new();
         if full {
             let event = self.event;
-            let left_out = self.listed.iter().filter(|(_, l)| l.named_in != event);
-            told.extend(left_out.map(|(id, l)| gone(id, l.address)));
-            told.sort_by(|a, b| a.id.cmp(&b.id)); // the table has no order of its own
-            for member in &told {
+            let missing = self.listed.iter().filter(|(_, l)| l.last_event != event);
+            changes.extend(missing.map(|(id, l)| gone_member(id, l.address)));
+            changes.sort_by(|a, b| a.id.cmp(&b.id)); // the map has no fixed order
+            for member in &changes {
                 self.remove(&member.id);
             }
         }
         for member in staged.changed {
-            let known = self.remove(&member.id);
+            let was_listed = self.remove(&member.id);
             if member.state != WorkerState::Gone {
                 self.insert(&member);
-            } else if !known {
+            } else if !was_listed {
                 continue;
             }
-            told.push(member);
+            changes.push(member);
         }
-        told
+        changes
     }
 
-    /// Workers listed.
+    /// Number of listed workers.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
@@ -113,26 +116,26 @@
 
     fn insert(&mut self, member: &Member) {
         let (fingerprint, address) = (fingerprint(member), member.address);
-        let listed = Listed { fingerprint, address, named_in: self.event, changed: false };
+        let listed = ListedWorker { fingerprint, address, last_event: self.event, changed_by_event: false };
         self.listed.insert(member.id.as_str().into(), listed);
-        *self.at.entry(address).or_default() += 1;
+        *self.workers_at.entry(address).or_default() += 1;
     }
 
-    /// Drops a worker; whether it was listed.
+    /// Removes a worker, and returns whether it was listed.
     fn remove(&mut self, id: &str) -> bool {
         let Some(listed) = self.listed.remove(id) else { return false };
-        if let Some(count) = self.at.get_mut(&listed.address) {
+        if let Some(count) = self.workers_at.get_mut(&listed.address) {
             *count -= 1;
             if *count == 0 {
-                self.at.remove(&listed.address);
+                self.workers_at.remove(&listed.address);
             }
         }
         true
     }
 }
 
-/// The word of a worker's end that a whole list gives by leaving it out.
-fn gone(id: &str, address: SocketAddr) -> Member {
+/// The entry of a worker that a full list no longer names.
+fn gone_member(id: &str, address: SocketAddr) -> Member {
     Member {
         id: id.to_owned(),
         address,
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -23,7 +23,7 @@
 use crate::core::{Core, Shared};
 use crate::messages::{Message, Speech};
 use config::Config;
-use discovery::{EventError, Follower, ListEvent};
+use discovery::{EventError, ListEvent, Subscriber};
 use front::{Acceptor, FrontContext};
 use limits::Budget;
 use may::net::TcpListener;
@@ -60,8 +60,8 @@
             }
         })
         .map_err(|e| format!("core thread: {e}"))?;
-    let board = Arc::new(discovery::Board::new(config.board));
-    let follower = known(config.known, config.known_to, Follower::new(&limits, queue.clone()));
+    let board = Arc::new(discovery::ServiceAddress::new(config.board));
+    let follower = known(config.known, config.known_to, Subscriber::new(&limits, queue.clone()));
     let (own, within, seed) = (board.clone(), limits.clone(), config.seed);
     net::spawn(limits.stack, move || discovery::follow(&own, follower, &within, seed))
         .map_err(|e| format!("board: {e}"))?;
@@ -70,7 +70,7 @@
     let mut listeners = vec![main];
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
-            let members = discovery::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            let members = discovery::parse_endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
             let _ = queue.send(Message::Members { source: Speech::Kserve, full: true, members });
         }
         let front = listen(kserve.listen, &context, "kserve", front::kserve::serve)?;
@@ -87,18 +87,18 @@
 
 /// Takes over the events that the configuration tells. What could not be read is asked for again: the board tells
 /// all it knows to whoever knows nothing.
-fn known(events: Vec<Result<ListEvent, EventError>>, to: u64, mut follower: Follower) -> Follower {
+fn known(events: Vec<Result<ListEvent, EventError>>, to: u64, mut follower: Subscriber) -> Subscriber {
     let mut sound = true;
     for event in events {
         match event {
-            Ok(event) => sound &= follower.take_known(event),
+            Ok(event) => sound &= follower.apply_configured(event),
             Err(why) => {
                 sound = false;
                 log!("start: known event skipped: {why}");
             }
         }
     }
-    follower.known_to(if sound { to } else { 0 });
+    follower.finish_configured(if sound { to } else { 0 });
     follower
 }
 
--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Signals. SIGHUP has the configuration read again, to the last; SIGTERM lets the program go on for a while,
 //! then it ends once nothing is open.
 use crate::config::Config;
-use crate::discovery::Board;
+use crate::discovery::ServiceAddress;
 use crate::front::{Acceptor, FrontContext};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -17,7 +17,7 @@
 /// Serves SIGHUP until SIGTERM or SIGINT comes, then waits for the end of what is open. Returns when the
 /// program may exit.
 pub fn wait(
-    mut signals: Signals, listeners: &[Acceptor], context: &FrontContext, board: &Arc<Board>,
+    mut signals: Signals, listeners: &[Acceptor], context: &FrontContext, board: &Arc<ServiceAddress>,
 ) -> Result<(), String> {
     let (stop, stopped) = channel();
     let board = board.clone();
@@ -69,11 +69,11 @@
 
 /// Reads the board's address again; whether it could. Guards against a file that is missing or half written: what
 /// held before goes on to hold, and the file is read again until it can be.
-fn reload(board: &Board) -> bool {
+fn reload(board: &ServiceAddress) -> bool {
     match Config::board_now() {
         Ok(address) => {
             log!("reload: the board is at {address}");
-            board.moved(address);
+            board.set(address);
             true
         }
         Err(why) => {
--- a/heronslip/tests/backoff.rs
+++ b/heronslip/tests/backoff.rs
@@ -11,10 +11,10 @@
     for seed in 0..200 {
         let mut backoff = Backoff::new(FIRST, MOST, seed);
         for span in spans {
-            assert!(backoff.wait() <= span);
+            assert!(backoff.next_delay() <= span);
         }
         backoff.reset();
-        assert!(backoff.wait() <= FIRST);
+        assert!(backoff.next_delay() <= FIRST);
     }
 }
 
@@ -24,7 +24,7 @@
     let mut tenths = [0; 10];
     for seed in 0..520 {
         let mut backoff = Backoff::new(FIRST, MOST, seed);
-        let wait = (0..8).map(|_| backoff.wait()).last().expect("a wait");
+        let wait = (0..8).map(|_| backoff.next_delay()).last().expect("a wait");
         tenths[(wait.as_millis() / 101) as usize] += 1;
     }
     assert!(tenths.iter().all(|&n| (20..=85).contains(&n)), "{tenths:?}");
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -1,5 +1,5 @@
 //! Readers of the wires, fed by hand.
-use heronslip::discovery::endpoints;
+use heronslip::discovery::parse_endpoints;
 use heronslip::http::{Chunked, Coded, Head};
 use heronslip::messages::Speech;
 use heronslip::ring::Ring;
@@ -85,7 +85,7 @@
         "metadata":{{"filter_metadata":{{"heronslip":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let members = endpoints(object(&json).expect("an object")).expect("sound");
+    let members = parse_endpoints(object(&json).expect("an object")).expect("sound");
     let m = &members[0];
     assert_eq!((m.state, m.speech, &m.id[..], &m.zone[..], m.cell), (state, Speech::Kserve, "w1", "east", 3));
 }
--- a/heronslip/tests/discovery.rs
+++ b/heronslip/tests/discovery.rs
@@ -83,7 +83,7 @@
     }
     stage.listed("fine", "ready", "it can be read");
     stage.listed("w0", "ready", "it is as it was");
-    stage.logged("an instance was skipped: odd: address nowhere");
+    stage.logged("skipped an instance of the worker list: odd: invalid address nowhere");
 }
 
 /// The same among what is known at the start: the rest counts, and the board is asked for all.
--- a/heronslip/tests/list_events.rs
+++ b/heronslip/tests/list_events.rs
@@ -1,7 +1,7 @@
 //! Readers of the board's stream and list, fed by hand, byte by byte.
 use heronslip::discovery::event_stream::{EventStream, StreamItem};
 use heronslip::discovery::json_array::ScanError;
-use heronslip::discovery::{EventBounds, EventError, EventReader, Table};
+use heronslip::discovery::{EventBounds, EventError, EventReader, WorkerTable};
 use heronslip::messages::Member;
 use heronslip_policy::WorkerState;
 use rstest::rstest;
@@ -14,7 +14,7 @@
     let text = ": comment\nid: 7\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n: more\n\nid:8\ndata:x\n\n";
     let (mut found, mut data) = (Vec::new(), String::new());
     for byte in text.bytes() {
-        match stream.byte(byte) {
+        match stream.push(byte) {
             Some(StreamItem::Data(byte)) => data.push(char::from(byte)),
             Some(StreamItem::Event) => found.push((stream.id().to_owned(), std::mem::take(&mut data))),
             Some(StreamItem::Line) | None => {}
@@ -29,7 +29,7 @@
     let mut reader = EventReader::new(BOUNDS);
     let (mut members, mut unreadable) = (Vec::new(), 0);
     for byte in text.bytes() {
-        match reader.byte(byte)? {
+        match reader.push(byte)? {
             Some(Ok(member)) => members.push(member),
             Some(Err(_)) => unreadable += 1,
             None => {}
@@ -91,8 +91,8 @@
     assert_eq!(read(text).expect_err("it cannot be used"), error);
 }
 
-fn told(table: &mut Table, full: bool, entries: &[&str]) -> Vec<(String, WorkerState)> {
-    let mut staged = table.begin();
+fn told(table: &mut WorkerTable, full: bool, entries: &[&str]) -> Vec<(String, WorkerState)> {
+    let mut staged = table.begin_event();
     for text in entries {
         let text = format!(
             r#"{{"instanceId":"{}","hostPort":"127.0.0.1:{}","lifecycle":"{}"}}"#,
@@ -100,14 +100,14 @@
             &text[2..3],
             &text[4..]
         );
-        table.stage(heronslip::discovery::instance::instance(text.as_bytes()), &mut staged);
+        table.stage(heronslip::discovery::instance::parse_instance(text.as_bytes()), &mut staged);
     }
     table.commit(full, staged).into_iter().map(|m| (m.id, m.state)).collect()
 }
 
 #[test]
 fn only_what_changes_is_told() {
-    let mut table = Table::default();
+    let mut table = WorkerTable::default();
     let (ready, gone) = (WorkerState::Ready, WorkerState::Gone);
     let one = |id: &str, state| (id.to_owned(), state);
     assert_eq!(told(&mut table, true, &["w11 ready", "w22 ready", "w33 ready"]).len(), 3);
@@ -126,7 +126,7 @@
 /// The core lets one of two workers at an address stand there: it has to hear again of both who that may be.
 #[test]
 fn workers_at_one_address_are_told_each_time() {
-    let mut table = Table::default();
+    let mut table = WorkerTable::default();
     told(&mut table, true, &["w11 ready", "w21 ready"]);
     let names: Vec<String> = told(&mut table, true, &["w11 ready"]).into_iter().map(|t| t.0).collect();
     assert_eq!(names, ["w2", "w1"]);
@@ -136,11 +136,11 @@
 /// An event that is dropped before its end leaves no trace.
 #[test]
 fn an_event_that_breaks_off_changes_nothing() {
-    let mut table = Table::default();
+    let mut table = WorkerTable::default();
     told(&mut table, true, &["w11 ready", "w22 ready"]);
-    let mut staged = table.begin();
+    let mut staged = table.begin_event();
     let text = br#"{"instanceId":"w1","hostPort":"127.0.0.1:5","lifecycle":"draining"}"#;
-    table.stage(heronslip::discovery::instance::instance(text), &mut staged);
+    table.stage(heronslip::discovery::instance::parse_instance(text), &mut staged);
     drop(staged);
     assert_eq!(told(&mut table, true, &["w11 ready", "w22 ready"]), []);
     assert_eq!(table.len(), 2);
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -339,7 +339,7 @@
         while at < heal {
             self.failed_calls += 1;
             // One that hangs over the heal does too: its first packet is lost, and it ends before the next.
-            at += hangs + micros(backoff.wait());
+            at += hangs + micros(backoff.next_delay());
         }
         at + 2 * self.way(n, 0)
     }
