--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -1,28 +1,31 @@
-//! The one helper of the tests: starts the program, plays stand-in clients and workers written from the
-//! specifications, and runs scenarios. A scenario has a line a step:
+//! Test harness: starts the program between stand-in clients, workers and discovery servers, which are written from
+//! the protocols' specifications, and runs scenarios. A scenario has one step per line:
 //!
-//!     client send CLASS KEY BODY WAIT_MS     a request; key `-` is none
+//!     client send CLASS KEY BODY WAIT_MS     sends a request; key `-` is none
 //!     client expect served BODY | refused | failed | nothing
-//!     client send part | endless             a request that stops midway; one whose body does not end
-//!     client open N                          so many more connections that say nothing
-//!     client expect closed                   the connection ends
+//!     client send partial | endless          sends a request that stops midway; one whose body does not end
+//!     client open N                          opens N more connections that send nothing
+//!     client expect closed                   expects the end of the connection
 //!     client close
-//!     worker expect CLASS KEY BODY [same]    the next call at any worker; `same`: in the hall of the last
-//!     worker expect nothing                  no call comes
-//!     worker expect nothing later            none comes after the client's answer; before it only the last one again
-//!     worker send ok BODY | full | miss | error | half     answers the last call; `half` ends midway
-//!     worker send stall | spoilt             an answer that stops midway; one whose check does not match
-//!     worker hush                            says nothing more on the last call's connection
-//!     worker expect closed                   the last call's connection ends
-//!     worker close                           ends the last call's connection
-//!     board expect LAST                      the next call at the board named now, telling this last event
-//!     board send ID WORKER STATE             an event on the connection of the last call
-//!     board close                            ends it
-//!     list expect WORKER STATE               the program comes to hold this of a worker, or `absent`
-//!     program reload [broken]                names the other board (a file that cannot be read); SIGHUP
+//!     worker expect CLASS KEY BODY [same-zone]   expects the next call at any worker, or in the last call's zone
+//!     worker expect nothing                  expects no call
+//!     worker expect nothing later            expects no call after the client's response, and until then only
+//!                                            repetitions of the last call
+//!     worker send ok BODY | full | miss | error | truncated    replies to the last call; `truncated` ends midway
+//!     worker send stall | corrupt            sends a reply that stops midway; one whose checksum does not match
+//!     worker mute                            sends nothing more on the last call's connection
+//!     worker expect closed                   expects the end of the last call's connection
+//!     worker close                           closes the last call's connection
+//!     discovery expect LAST                  expects a request to the configured discovery server with this
+//!                                            last event id
+//!     discovery send ID WORKER STATE         sends an event on the connection of the last request
+//!     discovery close                        closes that connection
+//!     list expect WORKER STATE               waits until the program lists the worker in this state, or `absent`
+//!     program reload [broken]                configures the other discovery server (or leaves an unreadable file)
+//!                                            and sends SIGHUP
 //!     wait MS
 #![allow(dead_code)]
-pub mod board_hand;
+pub mod discovery_server;
 pub mod stand_ins;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -42,155 +45,177 @@
 use heronslip::net::Permits;
 use std::time::{Duration, Instant};
 
+/// The function that all calls name.
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
-pub const PATIENCE: Duration = Duration::from_secs(10);
-const QUIET: Duration = Duration::from_millis(300);
+/// How long tests wait for what they expect.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
+/// How long nothing must happen where a test expects nothing.
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
+/// A protocol that clients and workers use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Speech {
+pub enum Protocol {
     Platform,
     Kserve,
 }
 
-/// A call as a stand-in worker saw it.
+/// A call that a stand-in worker received.
 pub struct Call {
-    speech: Speech,
-    came: Instant,
-    hall: usize,
+    protocol: Protocol,
+    received_at: Instant,
+    zone: usize,
     id: u64,
     class: String,
     key: String,
     body: String,
     stream: TcpStream,
-    hush: Arc<AtomicBool>,
+    muted: Arc<AtomicBool>,
 }
 
-/// The running program and its stand-in workers, two in each of two halls.
-pub struct Stage {
+/// The running program, its stand-in workers (two in each of two zones) and its stand-in discovery servers.
+pub struct TestProgram {
     child: Child,
-    pub front: SocketAddr,
+    pub fastcgi: SocketAddr,
     pub kserve: SocketAddr,
     pub admin: SocketAddr,
     calls: Receiver<Call>,
     log: Receiver<String>,
-    boards: [Board; 2],
-    board: Cell<usize>,
-    config: (PathBuf, String),
+    discovery_servers: [DiscoveryServer; 2],
+    /// Index of the discovery server that is configured now.
+    current_discovery_server: Cell<usize>,
+    config_path: PathBuf,
+    /// The configuration, with `BOARD` in place of the discovery server's address.
+    config_template: String,
 }
 
-/// A stand-in notice board: where it listens, and its calls with the last event that each told.
-type Board = (SocketAddr, Receiver<(String, TcpStream)>);
+/// A stand-in discovery server.
+struct DiscoveryServer {
+    address: SocketAddr,
+    /// The requests received: the last event id that each names, and its connection.
+    requests: Receiver<(String, TcpStream)>,
+}
 
 pub const SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"effect":"retryable","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1},
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
- "failure-domains":["hall-a","hall-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
+ "failure-domains":["zone-a","zone-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
  "family-info":{"free-loads":4,"keep":8000,"load-span":5000,"load-wait":4000,"loads-per-request":0.15,
  "machine-mb":[90000],"orders":true,"tells-crowd":true,"tells-warm":true,"when-absent":"load"},
  "limits":{"conn-idle":15000,"connect-timeout":250,"max-attempts":3,"max-retry-after":1000,"may-cancel":true,
  "probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"drain-grace":1000,"fall":1000,
  "fall-multiple":2,"warm-within":17000}}"#;
 
-/// What a test may want otherwise of the program and what surrounds it.
-pub struct Plan {
-    pub speech: Speech,
-    /// Where the workers w0, w1, ... listen; none: two stand-ins in each of two halls.
+/// How the program and its surroundings are set up.
+pub struct ProgramConfig {
+    pub protocol: Protocol,
+    /// Where the workers w0, w1, ... listen. If empty, two stand-ins are started in each of two zones.
     pub workers: Vec<SocketAddr>,
-    /// Descriptors: told, and held to.
+    /// The number of descriptors, both as configured and as limited by `ulimit`.
     pub sockets: u64,
     pub settings: String,
-    /// The events told at the start, in place of one that lists the workers.
+    /// The configured events, in place of one that lists the workers.
     pub known: Option<String>,
-    /// Whoever reads the log goes away once the program listens.
-    pub unread: bool,
-    /// The board named at the start, in place of the first stand-in.
-    pub board: Option<SocketAddr>,
+    /// Whether the log's reader is closed once the program listens.
+    pub close_log: bool,
+    /// The discovery server that is configured first, in place of the first stand-in.
+    pub discovery_server: Option<SocketAddr>,
     /// Further variables of the program's environment.
     pub environment: Vec<(&'static str, PathBuf)>,
 }
 
-impl Default for Plan {
+impl Default for ProgramConfig {
     fn default() -> Self {
-        let (speech, workers, sockets) = (Speech::Platform, Vec::new(), 256);
-        let (settings, known, unread, board) = (SETTINGS.to_owned(), None, false, None);
+        let (protocol, workers, sockets) = (Protocol::Platform, Vec::new(), 256);
+        let (settings, known, close_log, discovery_server) = (SETTINGS.to_owned(), None, false, None);
         let environment = Vec::new();
-        Plan { speech, workers, sockets, settings, known, unread, board, environment }
+        ProgramConfig {
+            protocol,
+            workers,
+            sockets,
+            settings,
+            known,
+            close_log,
+            discovery_server,
+            environment,
+        }
     }
 }
 
-/// One instance of the board's list, in the board's form.
+/// An entry of the discovery service's worker list.
 pub fn instance(id: &str, address: SocketAddr, state: &str, started_ms: u64) -> String {
     format!(
-        r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":{started_ms}}}"#
+        r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"zone-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":{started_ms}}}"#
     )
 }
 
-impl Stage {
-    pub fn new(speech: Speech) -> Stage {
-        Stage::with(Plan { speech, ..Plan::default() })
+impl TestProgram {
+    pub fn new(protocol: Protocol) -> TestProgram {
+        TestProgram::with(ProgramConfig { protocol, ..ProgramConfig::default() })
     }
 
-    /// The running program, as planned, once it is ready.
-    pub fn with(plan: Plan) -> Stage {
-        let stage = Stage::start(plan);
-        let until = Instant::now() + PATIENCE;
-        while !get(stage.admin, "/healthz").starts_with("HTTP/1.1 200") {
-            assert!(Instant::now() < until, "it is not ready");
+    /// Starts the program, and returns once it is ready.
+    pub fn with(config: ProgramConfig) -> TestProgram {
+        let program = TestProgram::start(config);
+        let until = Instant::now() + TIMEOUT;
+        while !http_get(program.admin, "/healthz").starts_with("HTTP/1.1 200") {
+            assert!(Instant::now() < until, "the program does not get ready");
             std::thread::sleep(Duration::from_millis(10));
         }
-        stage
+        program
     }
 
-    /// The running program, as planned, as soon as it listens.
-    pub fn start(plan: Plan) -> Stage {
+    /// Starts the program, and returns once it listens.
+    pub fn start(config: ProgramConfig) -> TestProgram {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the files");
-        let (seen, calls) = channel();
-        let workers: Vec<SocketAddr> = match &plan.workers[..] {
-            [] => (0..4).map(|n| worker(plan.speech, n / 2, seen.clone())).collect(),
-            given => given.to_vec(),
+        let (call_sender, calls) = channel();
+        let workers: Vec<SocketAddr> = match &config.workers[..] {
+            [] => (0..4).map(|n| start_worker(config.protocol, n / 2, call_sender.clone())).collect(),
+            addresses => addresses.to_vec(),
         };
-        let hall = |n: usize| if n < 2 { "hall-a" } else { "hall-b" };
-        let (mut notices, mut localities) = (Vec::new(), Vec::new());
+        let zone = |n: usize| if n < 2 { "zone-a" } else { "zone-b" };
+        let (mut instances, mut localities) = (Vec::new(), Vec::new());
         for (n, address) in workers.iter().enumerate() {
-            let (hall, port) = (hall(n), address.port());
-            notices.push(format!(
-                r#"{{"instanceId":"w{n}","hostPort":"{address}","zone":"{hall}","machineType":"std","cell":{},"lifecycle":"ready","startedAtMs":0}}"#,
+            let (zone, port) = (zone(n), address.port());
+            instances.push(format!(
+                r#"{{"instanceId":"w{n}","hostPort":"{address}","zone":"{zone}","machineType":"std","cell":{},"lifecycle":"ready","startedAtMs":0}}"#,
                 n / 2
             ));
             localities.push(format!(
-                r#"{{"locality":{{"zone":"{hall}"}},"lb_endpoints":[{{"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{port}}}}}}}}}]}}"#
+                r#"{{"locality":{{"zone":"{zone}"}},"lb_endpoints":[{{"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{port}}}}}}}}}]}}"#
             ));
         }
-        let (known, endpoints) = match plan.speech {
-            Speech::Platform => (notices.join(","), String::new()),
-            Speech::Kserve => (String::new(), localities.join(",")),
+        let (instances, endpoints) = match config.protocol {
+            Protocol::Platform => (instances.join(","), String::new()),
+            Protocol::Kserve => (String::new(), localities.join(",")),
         };
         let write = |name: &str, text: String| {
             std::fs::write(folder.join(name), text).expect("a file");
             folder.join(name)
         };
-        let whole = format!(r#"{{"rev":1,"pool":{{"reset":true,"instances":[{known}]}}}}"#);
-        let (settings, sockets, known) = (&plan.settings, plan.sockets, plan.known.unwrap_or(whole));
-        let told = format!(
+        let full_list = format!(r#"{{"rev":1,"pool":{{"reset":true,"instances":[{instances}]}}}}"#);
+        let (settings, sockets) = (&config.settings, config.sockets);
+        let known = config.known.unwrap_or(full_list);
+        let config_template = format!(
             r#"{{"name":"t","seed":"2a","limits":{{"memory_mb":192,"sockets":{sockets}}},"settings":{settings},
                 "board":"BOARD","known":{{"rev":1,"notices":[{known}]}}}}"#
         );
-        let mut boards = [board(), board()];
-        boards[0].0 = plan.board.unwrap_or(boards[0].0);
-        let config = write("config.json", told.replace("BOARD", &boards[0].0.to_string()));
+        let mut discovery_servers = [start_discovery_server(), start_discovery_server()];
+        discovery_servers[0].address = config.discovery_server.unwrap_or(discovery_servers[0].address);
+        let config_text = config_template.replace("BOARD", &discovery_servers[0].address.to_string());
+        let config_path = write("config.json", config_text);
         write(
             "endpoints.json",
             format!(r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#),
         );
         let kserve = write(
             "kserve.json",
-            match plan.speech {
-                Speech::Platform => r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0"}"#,
-                Speech::Kserve => {
+            match config.protocol {
+                Protocol::Platform => r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0"}"#,
+                Protocol::Kserve => {
                     r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#
                 }
             }
@@ -198,82 +223,99 @@
         );
         let mut child = Command::new("sh")
             .args(["-c", &format!("ulimit -n {sockets}; exec \"$0\""), env!("CARGO_BIN_EXE_heronslip")])
-            .env("NODE_CONFIG", &config)
+            .env("NODE_CONFIG", &config_path)
             .env("NODE_LISTEN", "127.0.0.1:0")
             .env("HERONSLIP_KSERVE", kserve)
-            .envs(plan.environment)
+            .envs(config.environment)
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut listens = || loop {
+        let mut next_address = || loop {
             let line = lines.next().expect("a line of the log").expect("text");
             if let Some((_, address)) = line.split_once(" listens on ") {
                 return address.parse().expect("an address");
             }
         };
-        let (front, kserve, admin) = (listens(), listens(), listens());
-        // The rest of the log is read, so that it cannot fill up, and shown with a failed test.
-        let (tell, log) = channel();
-        let read = move || {
+        let (fastcgi, kserve, admin) = (next_address(), next_address(), next_address());
+        // The rest of the log is read, so that its pipe cannot fill up, and is shown if the test fails.
+        let (log_sender, log) = channel();
+        let read_log = move || {
             for line in lines.map_while(Result::ok) {
                 eprintln!("  program: {line}");
-                let _ = tell.send(line); // the test may have ended
+                let _ = log_sender.send(line); // the test may have ended
             }
         };
-        if !plan.unread {
-            std::thread::spawn(read);
+        if !config.close_log {
+            std::thread::spawn(read_log);
         }
-        let (board, config) = (Cell::new(0), (config, told));
-        Stage { child, front, kserve, admin, calls, log, boards, board, config }
+        TestProgram {
+            child,
+            fastcgi,
+            kserve,
+            admin,
+            calls,
+            log,
+            discovery_servers,
+            current_discovery_server: Cell::new(0),
+            config_path,
+            config_template,
+        }
+    }
+
+    /// Waits for a log line that contains this text. Lines before it are skipped.
+    pub fn wait_for_log(&self, text: &str) {
+        let until = Instant::now() + TIMEOUT;
+        let remaining = || until.saturating_duration_since(Instant::now());
+        while !self.log.recv_timeout(remaining()).expect(text).contains(text) {}
     }
 
-    /// Waits for a line of the log that holds this.
-    pub fn logged(&self, part: &str) {
-        let until = Instant::now() + PATIENCE;
-        let left = || until.saturating_duration_since(Instant::now());
-        while !self.log.recv_timeout(left()).expect(part).contains(part) {}
+    /// How many descriptors the program has open.
+    pub fn open_descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the program runs").count()
     }
 
-    /// The descriptors that the program holds.
-    pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+    fn configured_discovery_server(&self) -> &DiscoveryServer {
+        &self.discovery_servers[self.current_discovery_server.get()]
     }
 
-    /// The next call of the board named now: the last event it told, and the connection.
-    pub fn board_call(&self) -> (String, TcpStream) {
-        self.boards[self.board.get()].1.recv_timeout(PATIENCE).expect("a call of the board")
+    /// The next request to the configured discovery server: the last event id that it names, and the connection.
+    pub fn discovery_request(&self) -> (String, TcpStream) {
+        self.configured_discovery_server()
+            .requests
+            .recv_timeout(TIMEOUT)
+            .expect("a request to the discovery server")
     }
 
-    /// The same, of calls that come from now on: each is given up when the board has been silent for long.
-    pub fn new_board_call(&self) -> (String, TcpStream) {
-        while self.boards[self.board.get()].1.try_recv().is_ok() {}
-        self.board_call()
+    /// The next request that arrives from now on. Earlier ones may have ended because the server sent nothing.
+    pub fn new_discovery_request(&self) -> (String, TcpStream) {
+        while self.configured_discovery_server().requests.try_recv().is_ok() {}
+        self.discovery_request()
     }
 
-    /// Sends SIGTERM and waits for the program's end.
-    pub fn stop(&mut self) -> bool {
+    /// Sends SIGTERM and waits until the program exits; whether it exits with success.
+    pub fn terminate(&mut self) -> bool {
         self.signal("-TERM");
-        self.ended()
+        self.wait_for_exit()
     }
 
-    /// Waits for the program's end.
-    pub fn ended(&mut self) -> bool {
+    /// Waits until the program exits; whether it exits with success.
+    pub fn wait_for_exit(&mut self) -> bool {
         let until = Instant::now() + Duration::from_secs(60);
         loop {
             if let Some(status) = self.child.try_wait().expect("waited for") {
                 return status.success();
             }
-            assert!(Instant::now() < until, "it does not end");
+            assert!(Instant::now() < until, "the program does not exit");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Names the other board in the configuration.
-    pub fn name_other_board(&self) {
-        self.board.set(1 - self.board.get());
-        let told = self.config.1.replace("BOARD", &self.boards[self.board.get()].0.to_string());
-        std::fs::write(&self.config.0, told).expect("written");
+    /// Configures the other discovery server, without a reload.
+    pub fn switch_discovery_server(&self) {
+        self.current_discovery_server.set(1 - self.current_discovery_server.get());
+        let address = self.configured_discovery_server().address.to_string();
+        std::fs::write(&self.config_path, self.config_template.replace("BOARD", &address)).expect("written");
     }
 
     pub fn signal(&self, name: &str) {
@@ -281,165 +323,175 @@
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
     }
 
-    /// Names the other board in the configuration, or leaves no readable one, and has it read again.
+    /// Configures the other discovery server, or leaves an unreadable configuration, and sends SIGHUP.
     pub fn reload(&self, broken: bool) {
         if broken {
-            std::fs::write(&self.config.0, "{").expect("written");
+            std::fs::write(&self.config_path, "{").expect("written");
         } else {
-            self.name_other_board();
+            self.switch_discovery_server();
         }
         self.signal("-HUP");
     }
 
-    /// Waits until the administration API shows this.
-    pub fn shows(&self, part: &str) {
+    /// Waits until the state that the administration API shows contains this text.
+    pub fn wait_for_state(&self, text: &str) {
         let since = Instant::now();
-        while !get(self.admin, "/v1/state").contains(part) {
-            assert!(since.elapsed() < PATIENCE, "{part} is not shown");
+        while !http_get(self.admin, "/v1/state").contains(text) {
+            assert!(since.elapsed() < TIMEOUT, "{text} is not shown");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Waits until the administration API shows this state of a worker.
-    pub fn listed(&self, worker: &str, state: &str, context: &str) {
+    pub fn wait_for_worker(&self, worker: &str, state: &str, context: &str) {
         let since = Instant::now();
         loop {
-            let told = get(self.admin, "/v1/state");
-            let json = parse(told.split_once("\r\n\r\n").expect("a body").1).expect("JSON");
-            let named = |e: &&miniserde::json::Object| text(e, "name") == Some(worker);
-            let shown = list(object(&json).expect("an object"), "endpoints");
-            let found = shown.iter().filter_map(object).find(named);
+            let response = http_get(self.admin, "/v1/state");
+            let json = parse(response.split_once("\r\n\r\n").expect("a body").1).expect("JSON");
+            let is_worker = |e: &&miniserde::json::Object| text(e, "name") == Some(worker);
+            let endpoints = list(object(&json).expect("an object"), "endpoints");
+            let found = endpoints.iter().filter_map(object).find(is_worker);
             if found.map_or(Some("absent"), |e| text(e, "state")) == Some(state) {
                 return;
             }
-            assert!(since.elapsed() < PATIENCE, "{context}: {told}");
+            assert!(since.elapsed() < TIMEOUT, "{context}: {response}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Runs a scenario through one front; what clients and workers saw, line by line.
-    pub fn play(&self, front: Speech, scenario: &str) -> Vec<String> {
-        let address = if front == Speech::Platform { self.front } else { self.kserve };
-        let mut client = Client { speech: front, stream: connect(address) };
-        let (mut last, mut seen): (Option<Call>, Vec<String>) = (None, Vec::new());
-        let mut answered = Instant::now();
-        let (mut told, mut silent): (Option<TcpStream>, Vec<TcpStream>) = (None, Vec::new());
+    /// Runs a scenario whose client uses this protocol. Returns what the client and the workers received.
+    pub fn run_scenario(&self, protocol: Protocol, scenario: &str) -> Vec<String> {
+        let address = if protocol == Protocol::Platform { self.fastcgi } else { self.kserve };
+        let mut client = Client { protocol, stream: connect(address) };
+        let (mut last_call, mut received): (Option<Call>, Vec<String>) = (None, Vec::new());
+        let mut responded_at = Instant::now();
+        let (mut discovery, mut silent): (Option<TcpStream>, Vec<TcpStream>) = (None, Vec::new());
         for line in scenario.lines().map(str::trim).filter(|l| !l.is_empty()) {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let context = format!("{front:?}: {line}");
+            let context = format!("{protocol:?}: {line}");
             match words[..] {
                 ["client", "send", class, key, body, wait] => client.send(class, key, body, wait),
-                ["client", "send", "part"] => client.part(),
-                ["client", "send", "endless"] => client.endless(),
+                ["client", "send", "partial"] => client.send_partial(),
+                ["client", "send", "endless"] => client.send_endless(),
                 ["client", "open", n] => {
                     let n: usize = n.parse().expect("a number");
                     silent.extend((0..n).map(|_| connect(address)));
-                    client = Client { speech: front, stream: connect(address) };
+                    client = Client { protocol, stream: connect(address) };
                 }
-                ["client", "expect", "closed"] => client.closed(&context),
+                ["client", "expect", "closed"] => client.expect_closed(&context),
                 ["client", "close"] => client.stream.shutdown(Shutdown::Both).expect("open"),
-                ["client", "expect", "nothing"] => client.nothing(&context),
-                ["client", "expect", ref wanted @ ..] => {
-                    let got = client.answer(&context);
-                    answered = Instant::now();
-                    assert_eq!(got, wanted.join(" "), "{context}");
-                    seen.push(format!("client {got}"));
+                ["client", "expect", "nothing"] => client.expect_nothing(&context),
+                ["client", "expect", ref expected @ ..] => {
+                    let got = client.read_response(&context);
+                    responded_at = Instant::now();
+                    assert_eq!(got, expected.join(" "), "{context}");
+                    received.push(format!("client {got}"));
                 }
                 ["worker", "expect", "nothing", "later"] => {
-                    while let Ok(again) = self.calls.recv_timeout(QUIET) {
-                        assert!(again.came < answered, "{context}: a call came after the answer");
-                        let told = |c: &Call| [c.class.clone(), c.key.clone(), c.body.clone()];
-                        let before = last.as_ref().expect(&context);
-                        assert_eq!((told(&again), again.hall), (told(before), before.hall), "{context}");
+                    while let Ok(again) = self.calls.recv_timeout(QUIET_PERIOD) {
+                        assert!(again.received_at < responded_at, "{context}: a call after the response");
+                        let content = |c: &Call| [c.class.clone(), c.key.clone(), c.body.clone()];
+                        let before = last_call.as_ref().expect(&context);
+                        assert_eq!(
+                            (content(&again), again.zone),
+                            (content(before), before.zone),
+                            "{context}"
+                        );
                     }
                 }
                 ["worker", "expect", "nothing"] => {
-                    assert!(self.calls.recv_timeout(QUIET).is_err(), "{context}: a call came");
+                    assert!(self.calls.recv_timeout(QUIET_PERIOD).is_err(), "{context}: a call was received");
+                }
+                ["worker", "mute"] => {
+                    last_call.as_ref().expect(&context).muted.store(true, Ordering::Release)
                 }
-                ["worker", "hush"] => last.as_ref().expect(&context).hush.store(true, Ordering::Release),
-                ["worker", "expect", "closed"] => last.as_ref().expect(&context).closed(&context),
-                ["worker", "expect", class, key, body, ref hall @ ..] => {
-                    let call = self.calls.recv_timeout(PATIENCE).expect(&context);
+                ["worker", "expect", "closed"] => last_call.as_ref().expect(&context).expect_closed(&context),
+                ["worker", "expect", class, key, body, ref zone @ ..] => {
+                    let call = self.calls.recv_timeout(TIMEOUT).expect(&context);
                     let got = [&call.class[..], &call.key, &call.body];
                     assert_eq!(got, [class, key, body], "{context}");
-                    if hall == ["same"] {
-                        assert_eq!(Some(call.hall), last.map(|l| l.hall), "{context}");
+                    if zone == ["same-zone"] {
+                        assert_eq!(Some(call.zone), last_call.map(|l| l.zone), "{context}");
                     }
-                    seen.push(format!("worker {}", got.join(" ")));
-                    last = Some(call);
+                    received.push(format!("worker {}", got.join(" ")));
+                    last_call = Some(call);
                 }
-                ["worker", "send", ref answer @ ..] => last.as_ref().expect(&context).answer(answer),
+                ["worker", "send", ref reply @ ..] => last_call.as_ref().expect(&context).reply(reply),
                 ["worker", "close"] => {
-                    last.as_ref().expect(&context).stream.shutdown(Shutdown::Both).expect("open");
+                    last_call.as_ref().expect(&context).stream.shutdown(Shutdown::Both).expect("open");
                 }
-                ["board", "expect", last] => {
-                    let calls = &self.boards[self.board.get()].1;
-                    let (got, stream) = calls.recv_timeout(PATIENCE).expect(&context);
-                    assert_eq!(got, last, "{context}");
-                    told = Some(stream);
+                ["discovery", "expect", last_event] => {
+                    let requests = &self.configured_discovery_server().requests;
+                    let (got, stream) = requests.recv_timeout(TIMEOUT).expect(&context);
+                    assert_eq!(got, last_event, "{context}");
+                    discovery = Some(stream);
                 }
-                ["board", "send", id, worker, state] => {
-                    let event = format!(
-                        r#"{{"instanceId":"{worker}","hostPort":"127.0.0.1:9","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":0}}"#
+                ["discovery", "send", id, worker, state] => {
+                    let instance = format!(
+                        r#"{{"instanceId":"{worker}","hostPort":"127.0.0.1:9","zone":"zone-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":0}}"#
                     );
-                    let event = format!(r#"{{"rev":{id},"pool":{{"reset":false,"instances":[{event}]}}}}"#);
+                    let event =
+                        format!(r#"{{"rev":{id},"pool":{{"reset":false,"instances":[{instance}]}}}}"#);
                     let event = format!("id: {id}\ndata: {event}\n\n");
-                    told.as_ref().expect(&context).write_all(event.as_bytes()).expect("written");
+                    discovery.as_ref().expect(&context).write_all(event.as_bytes()).expect("written");
                 }
-                ["board", "close"] => told.as_ref().expect(&context).shutdown(Shutdown::Both).expect("open"),
-                ["list", "expect", worker, state] => self.listed(worker, state, &context),
+                ["discovery", "close"] => {
+                    discovery.as_ref().expect(&context).shutdown(Shutdown::Both).expect("open");
+                }
+                ["list", "expect", worker, state] => self.wait_for_worker(worker, state, &context),
                 ["program", "reload", ref how @ ..] => self.reload(how == ["broken"]),
                 ["wait", ms] => std::thread::sleep(Duration::from_millis(ms.parse().expect("a number"))),
                 _ => panic!("no such step: {line}"),
             }
         }
-        seen
+        received
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestProgram {
     fn drop(&mut self) {
         let _ = self.child.kill(); // it may have ended already
         let _ = self.child.wait();
     }
 }
 
+/// Connects with a read timeout.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream
 }
 
-/// An HTTP answer to a GET, whole.
-pub fn get(address: SocketAddr, path: &str) -> String {
+/// Sends an HTTP GET, and returns the whole response.
+pub fn http_get(address: SocketAddr, path: &str) -> String {
     let mut stream = connect(address);
     write!(stream, "GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").expect("written");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    response
 }
 
-fn exactly(stream: &mut impl Read, n: usize) -> std::io::Result<Vec<u8>> {
+fn read_exactly(stream: &mut impl Read, n: usize) -> std::io::Result<Vec<u8>> {
     let mut bytes = vec![0; n];
     stream.read_exact(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Head and body of an HTTP message.
-fn message(stream: &mut impl Read) -> std::io::Result<(String, Vec<u8>)> {
+/// Reads an HTTP message: its head and body.
+fn read_http_message(stream: &mut impl Read) -> std::io::Result<(String, Vec<u8>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        head.extend(exactly(stream, 1)?);
+        head.extend(read_exactly(stream, 1)?);
     }
     let head = String::from_utf8_lossy(&head).into_owned();
     let length = head
         .lines()
         .find_map(|l| l.strip_prefix("Content-Length: "))
         .map_or(0, |l| l.parse().expect("length"));
-    Ok((head, exactly(stream, length)?))
+    Ok((head, read_exactly(stream, length)?))
 }
 
-/// The text that a body carries: of a v2 JSON body its first tensor's, else the bytes.
+/// The text that a body carries: the first tensor of a KServe v2 body, else the body itself.
 fn content(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
     let Ok(json) = parse(&plain) else { return plain };
@@ -449,49 +501,50 @@
     let Some(tensor) = tensors.first().and_then(object) else { return plain };
     let data =
         list(tensor, "data").first().and_then(heronslip_policy::json::as_text).expect("data").to_owned();
-    let coded = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
-    if coded {
+    let is_base64 = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+    if is_base64 {
         String::from_utf8(STANDARD.decode(data).expect("base64")).expect("text")
     } else {
         data
     }
 }
 
+/// A client connection.
 pub struct Client {
-    speech: Speech,
+    protocol: Protocol,
     stream: TcpStream,
 }
 
 /// A FastCGI record.
-pub fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
+pub fn fastcgi_record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
     let [i0, i1] = id.to_be_bytes();
     let [c0, c1] = (content.len() as u16).to_be_bytes();
     [&[1, kind, i0, i1, c0, c1, 0, 0], content].concat()
 }
 
-/// A whole FastCGI request with these parameters.
-pub fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// A complete FastCGI request with these parameters.
+pub fn fastcgi_request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let pair = |(name, value): &(&str, &str)| {
         [&[name.len() as u8, value.len() as u8], name.as_bytes(), value.as_bytes()].concat()
     };
     let params: Vec<u8> = params.iter().flat_map(pair).collect();
-    let mut out = record(1, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
-    out.extend(record(4, id, &params));
-    out.extend(record(4, id, &[]));
+    let mut out = fastcgi_record(1, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
+    out.extend(fastcgi_record(4, id, &params));
+    out.extend(fastcgi_record(4, id, &[]));
     for piece in body.chunks(8_000) {
-        out.extend(record(5, id, piece));
+        out.extend(fastcgi_record(5, id, piece));
     }
-    out.extend(record(5, id, &[]));
+    out.extend(fastcgi_record(5, id, &[]));
     out
 }
 
-/// Reads one FastCGI answer: its head and body, and the protocol status.
-pub fn fastcgi_answer(stream: &mut TcpStream) -> std::io::Result<(String, Vec<u8>, u8)> {
+/// Reads one FastCGI response: its head and body, and the protocol status.
+pub fn read_fastcgi_response(stream: &mut TcpStream) -> std::io::Result<(String, Vec<u8>, u8)> {
     let mut out = Vec::new();
     loop {
-        let header = exactly(stream, 8)?;
-        let content = exactly(stream, usize::from(u16::from_be_bytes([header[4], header[5]])))?;
-        exactly(stream, header[6].into())?;
+        let header = read_exactly(stream, 8)?;
+        let content = read_exactly(stream, usize::from(u16::from_be_bytes([header[4], header[5]])))?;
+        read_exactly(stream, header[6].into())?;
         match header[1] {
             6 => out.extend(content),
             3 => {
@@ -510,8 +563,8 @@
         static IDS: AtomicU64 = AtomicU64::new(1);
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         let (wire, path) = (format!("{id:016x}"), format!("/v1/{class}"));
-        let bytes = match self.speech {
-            Speech::Platform => {
+        let bytes = match self.protocol {
+            Protocol::Platform => {
                 let mut params = vec![
                     ("SCRIPT_NAME", &path[..]),
                     ("HTTP_REQ_ID", &wire),
@@ -523,9 +576,9 @@
                 if key != "-" {
                     params.push(("HTTP_REQ_TOKEN", key));
                 }
-                fastcgi(id as u16, &params, body.as_bytes())
+                fastcgi_request(id as u16, &params, body.as_bytes())
             }
-            Speech::Kserve => {
+            Protocol::Kserve => {
                 let token = if key == "-" { String::new() } else { format!(r#""token":"{key}","#) };
                 let body = format!(
                     r#"{{"id":"{wire}","parameters":{{"class":"{class}","tenant":"acme","wait_ms":{wait},{token}"memory_mb":512,"lanes":4,"load_ms":640}},"inputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
@@ -538,27 +591,27 @@
         self.stream.write_all(&bytes).expect("written");
     }
 
-    /// The first half of a request.
-    fn part(&mut self) {
-        let bytes = match self.speech {
-            Speech::Platform => fastcgi(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half"),
-            Speech::Kserve => b"POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\nHost: t\r\n".to_vec(),
+    /// Sends a request without its last bytes.
+    fn send_partial(&mut self) {
+        let bytes = match self.protocol {
+            Protocol::Platform => fastcgi_request(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half"),
+            Protocol::Kserve => b"POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\nHost: t\r\n".to_vec(),
         };
         self.stream.write_all(&bytes[..bytes.len() - 8]).expect("written");
     }
 
-    /// Sends a body until the connection takes no more of it, at most 60 MB.
-    fn endless(&mut self) {
+    /// Sends a body without end, until the connection fails or 60 MB have been sent.
+    fn send_endless(&mut self) {
         let mut to = self.stream.try_clone().expect("cloned");
-        let bytes = match self.speech {
-            Speech::Platform => record(5, 1, &[7; 8_000]),
-            Speech::Kserve => b"X-Endless: 1\r\n".repeat(500),
+        let bytes = match self.protocol {
+            Protocol::Platform => fastcgi_record(5, 1, &[7; 8_000]),
+            Protocol::Kserve => b"X-Endless: 1\r\n".repeat(500),
         };
-        self.part();
+        self.send_partial();
         std::thread::spawn(move || (0..7_500).all(|_| to.write_all(&bytes).is_ok()));
     }
 
-    fn closed(&mut self, context: &str) {
+    fn expect_closed(&mut self, context: &str) {
         let mut rest = Vec::new();
         match self.stream.read_to_end(&mut rest) {
             Ok(_) => {}
@@ -566,71 +619,78 @@
         }
     }
 
-    /// The next final answer, in the scenario's words.
-    fn answer(&mut self, context: &str) -> String {
-        let (head, body, refused) = match self.speech {
-            Speech::Platform => {
-                let (head, body, status) = fastcgi_answer(&mut self.stream).expect(context);
+    /// Reads the next final response, and returns it in the form that scenarios use.
+    fn read_response(&mut self, context: &str) -> String {
+        let (head, body, refused) = match self.protocol {
+            Protocol::Platform => {
+                let (head, body, status) = read_fastcgi_response(&mut self.stream).expect(context);
                 let refused = head.contains("Status: 503") || status == 2;
-                assert!(!refused || status == 2 || head.contains("Srv-Wait-Ms: "), "{context}: no advice");
+                assert!(
+                    !refused || status == 2 || head.contains("Srv-Wait-Ms: "),
+                    "{context}: no retry delay"
+                );
                 (head, body, refused)
             }
-            Speech::Kserve => {
-                let (head, body) = message(&mut self.stream).expect(context);
+            Protocol::Kserve => {
+                let (head, body) = read_http_message(&mut self.stream).expect(context);
                 let refused = head.starts_with("HTTP/1.1 503");
-                assert!(!refused || head.contains("Retry-After: "), "{context}: no advice");
+                assert!(!refused || head.contains("Retry-After: "), "{context}: no retry delay");
                 (head, body, refused)
             }
         };
         if head.contains(" 200 ") {
             return format!("served {}", content(&body));
         }
-        if self.speech == Speech::Kserve {
+        if self.protocol == Protocol::Kserve {
             assert!(String::from_utf8_lossy(&body).starts_with(r#"{"error":""#), "{context}: {body:?}");
         }
         if refused { "refused" } else { "failed" }.to_owned()
     }
 
-    fn nothing(&mut self, context: &str) {
-        self.stream.set_read_timeout(Some(QUIET)).expect("set");
+    fn expect_nothing(&mut self, context: &str) {
+        self.stream.set_read_timeout(Some(QUIET_PERIOD)).expect("set");
         let got = self.stream.read(&mut [0; 64]);
         assert!(got.is_err(), "{context}: {got:?}");
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        self.stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     }
 }
 
-/// Starts a stand-in worker: it answers orders by itself, as one on which a copy of everything stands.
-fn worker(speech: Speech, hall: usize, seen: Sender<Call>) -> SocketAddr {
+/// Starts a stand-in worker. It hands calls to the test, and replies to other commands as if every function had a loaded
+/// copy.
+fn start_worker(protocol: Protocol, zone: usize, calls: Sender<Call>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let seen = seen.clone();
-            std::thread::spawn(move || match speech {
-                Speech::Platform => frames(stream, hall, &seen),
-                Speech::Kserve => infer(stream, hall, &seen),
+            let calls = calls.clone();
+            std::thread::spawn(move || match protocol {
+                Protocol::Platform => serve_frames(stream, zone, &calls),
+                Protocol::Kserve => serve_kserve(stream, zone, &calls),
             });
         }
     });
     address
 }
 
-fn board() -> Board {
+/// Starts a stand-in discovery server. It accepts every request and hands its connection to the test.
+fn start_discovery_server() -> DiscoveryServer {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (seen, calls) = channel();
+    let (sender, requests) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let Ok((head, _)) = message(&mut stream) else { continue };
-            let last = head.lines().find_map(|l| l.strip_prefix("Last-Event-ID: ")).expect("told").to_owned();
+            let Ok((head, _)) = read_http_message(&mut stream) else { continue };
+            let last_event = head.lines().find_map(|l| l.strip_prefix("Last-Event-ID: "));
+            let last_event = last_event.expect("a last event id").to_owned();
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-            let _ = seen.send((last, stream));
+            let _ = sender.send((last_event, stream));
         }
     });
-    (address, calls)
+    DiscoveryServer { address, requests }
 }
 
-pub fn frame(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+/// A frame as a worker sends it.
+pub fn reply_frame(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     let content = [fields.as_bytes(), body].concat();
     let mut out = vec![127, code];
     out.extend((fields.len() as u16).to_be_bytes());
@@ -641,25 +701,25 @@
     out
 }
 
-/// A command as a worker reads it.
-pub struct Received {
+/// A frame as a worker receives it.
+pub struct CommandFrame {
     pub code: u8,
     pub id: u64,
     pub fields: String,
     pub body: Vec<u8>,
 }
 
-impl Received {
-    pub fn read(stream: &mut impl Read) -> std::io::Result<Received> {
-        let header = exactly(stream, 16)?;
+impl CommandFrame {
+    pub fn read(stream: &mut impl Read) -> std::io::Result<CommandFrame> {
+        let header = read_exactly(stream, 16)?;
         let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
         let body = u32::from_be_bytes(header[4..8].try_into().expect("four")) as usize;
         let id = u64::from_be_bytes(header[8..].try_into().expect("eight"));
-        let content = exactly(stream, length + body + 4)?;
+        let content = read_exactly(stream, length + body + 4)?;
         let (content, check) = content.split_at(length + body);
         assert_eq!((header[0], check), (126, &crc32fast::hash(content).to_be_bytes()[..]));
         let fields = String::from_utf8_lossy(&content[..length]).into_owned();
-        Ok(Received { code: header[1], id, fields, body: content[length..].to_vec() })
+        Ok(CommandFrame { code: header[1], id, fields, body: content[length..].to_vec() })
     }
 
     pub fn field(&self, name: &str) -> &str {
@@ -668,8 +728,8 @@
     }
 }
 
-/// What fronts need, with the core's end of the queue.
-pub fn context(change: impl FnOnce(&mut Limits)) -> (FrontContext, Receiver<Message>) {
+/// The context that servers need, and the core's end of the queue.
+pub fn test_context(change: impl FnOnce(&mut Limits)) -> (FrontContext, Receiver<Message>) {
     let mut limits = Limits::new(192, 256, &heronslip_policy::Settings::default());
     change(&mut limits);
     heronslip::net::schedule(&limits);
@@ -688,8 +748,8 @@
     (context, queue)
 }
 
-/// The FastCGI front of this context on a listener of its own.
-pub fn fastcgi_front(context: &FrontContext) -> SocketAddr {
+/// Starts a FastCGI server with this context, and returns its address.
+pub fn start_fastcgi_server(context: &FrontContext) -> SocketAddr {
     let acceptor = Acceptor::new(may::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let (address, context) = (acceptor.listener.local_addr().expect("bound"), context.clone());
     let run = move || accept(&acceptor, &context, "test", heronslip::front::fastcgi::serve);
@@ -697,60 +757,62 @@
     address
 }
 
-/// A worker that a test answers for, call by call; orders it answers by itself, as if all stood loaded.
-pub struct Hand {
+/// A worker whose replies to calls the test sends. It replies to other commands by itself, as if every function had a
+/// loaded copy.
+pub struct ScriptedWorker {
     listener: TcpListener,
     stream: Option<TcpStream>,
 }
 
-impl Hand {
-    pub fn new() -> Hand {
-        Hand { listener: TcpListener::bind("127.0.0.1:0").expect("a port"), stream: None }
+impl ScriptedWorker {
+    pub fn new() -> ScriptedWorker {
+        ScriptedWorker { listener: TcpListener::bind("127.0.0.1:0").expect("a port"), stream: None }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
     }
 
-    /// The next command that is no order, on the connection in use, the first time a new one.
-    pub fn command(&mut self) -> Received {
+    /// The next command that needs a reply by the test. The first use accepts the connection.
+    pub fn command(&mut self) -> CommandFrame {
         let stream = self.stream.get_or_insert_with(|| {
             let (stream, _) = self.listener.accept().expect("a connection");
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
+            stream.set_read_timeout(Some(TIMEOUT)).expect("set");
             stream
         });
         loop {
-            let command = Received::read(stream).expect("a command");
+            let command = CommandFrame::read(stream).expect("a command");
             match command.code {
-                6 => stream.write_all(&frame(200, command.id, "slots_up=1", &[])).expect("written"),
-                4 | 5 => stream.write_all(&frame(206, command.id, "", &[])).expect("written"),
+                6 => stream.write_all(&reply_frame(200, command.id, "slots_up=1", &[])).expect("written"),
+                4 | 5 => stream.write_all(&reply_frame(206, command.id, "", &[])).expect("written"),
                 8 => {}
                 _ => return command,
             }
         }
     }
 
+    /// Replies to a call with this body.
     pub fn serve(&mut self, id: u64, body: &str) {
         let stream = self.stream.as_mut().expect("connected");
-        stream.write_all(&frame(200, id, "detail=resident", body.as_bytes())).expect("written");
+        stream.write_all(&reply_frame(200, id, "detail=resident", body.as_bytes())).expect("written");
     }
 
-    /// Whether something has connected that was not taken.
-    pub fn untouched(&self) -> bool {
+    /// Whether no connection waits to be accepted.
+    pub fn has_no_connection(&self) -> bool {
         self.listener.set_nonblocking(true).expect("set");
         self.listener.accept().is_err()
     }
 }
 
-/// An event of the board.
-pub fn tell(board: &mut TcpStream, number: u64, whole: bool, instances: &[String]) {
+/// Sends an event of the worker list.
+pub fn send_event(discovery: &mut TcpStream, number: u64, full: bool, instances: &[String]) {
     let instances = instances.join(",");
-    let event = format!(r#"{{"rev":{number},"pool":{{"reset":{whole},"instances":[{instances}]}}}}"#);
-    board.write_all(format!("id: {number}\ndata: {event}\n\n").as_bytes()).expect("written");
+    let event = format!(r#"{{"rev":{number},"pool":{{"reset":{full},"instances":[{instances}]}}}}"#);
+    discovery.write_all(format!("id: {number}\ndata: {event}\n\n").as_bytes()).expect("written");
 }
 
-/// A call of the usual function as bytes.
-pub fn call(stream_id: u16, wire_id: &str, wait: &str, body: &str) -> Vec<u8> {
+/// A FastCGI request that calls [`FUNCTION`].
+pub fn fastcgi_call(stream_id: u16, wire_id: &str, wait: &str, body: &str) -> Vec<u8> {
     let params = [
         ("SCRIPT_NAME", "/v1/tile-render"),
         ("HTTP_REQ_ID", wire_id),
@@ -759,32 +821,33 @@
         ("HTTP_REQ_KEY", FUNCTION),
         ("HTTP_X_MORE", "memory_mb:512;lanes:4;load_ms:640"),
     ];
-    fastcgi(stream_id, &params, body.as_bytes())
+    fastcgi_request(stream_id, &params, body.as_bytes())
 }
 
-fn frames(mut stream: TcpStream, hall: usize, seen: &Sender<Call>) {
-    let hush = Arc::new(AtomicBool::new(false));
-    while let Ok(command) = Received::read(&mut stream) {
+/// Serves one connection of the binary protocol.
+fn serve_frames(mut stream: TcpStream, zone: usize, calls: &Sender<Call>) {
+    let muted = Arc::new(AtomicBool::new(false));
+    while let Ok(command) = CommandFrame::read(&mut stream) {
         let id = command.id;
         match command.code {
-            _ if hush.load(Ordering::Acquire) => {}
-            6 => stream.write_all(&frame(200, id, "slots_up=1", &[])).expect("written"),
-            4 | 5 => stream.write_all(&frame(206, id, "", &[])).expect("written"),
+            _ if muted.load(Ordering::Acquire) => {}
+            6 => stream.write_all(&reply_frame(200, id, "slots_up=1", &[])).expect("written"),
+            4 | 5 => stream.write_all(&reply_frame(206, id, "", &[])).expect("written"),
             2 => {
                 assert_eq!(command.field("path"), FUNCTION);
                 let field = |name: &str| command.field(name).to_owned();
                 let (class, key, body) = (field("queue"), field("uniq"), content(&command.body));
                 let stream = stream.try_clone().expect("cloned");
-                let _ = seen.send(Call {
-                    speech: Speech::Platform,
-                    came: Instant::now(),
-                    hall,
+                let _ = calls.send(Call {
+                    protocol: Protocol::Platform,
+                    received_at: Instant::now(),
+                    zone,
                     id,
                     class,
                     key,
                     body,
                     stream,
-                    hush: hush.clone(),
+                    muted: muted.clone(),
                 });
             }
             _ => {}
@@ -792,61 +855,63 @@
     }
 }
 
-fn infer(mut stream: TcpStream, hall: usize, seen: &Sender<Call>) {
-    while let Ok((head, body)) = message(&mut stream) {
+/// Serves one KServe v2 connection.
+fn serve_kserve(mut stream: TcpStream, zone: usize, calls: &Sender<Call>) {
+    while let Ok((head, body)) = read_http_message(&mut stream) {
         let target = head.split(' ').nth(1).expect("a target").to_owned();
-        let mut say = |body: &str| {
+        let mut respond = |body: &str| {
             let length = body.len();
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}").expect("written");
         };
         if target == "/v2/repository/index" {
-            say(&format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#));
+            respond(&format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#));
         } else if target.starts_with("/v2/repository/models/") {
-            say(r#"{"parameters":{"slots_up":1}}"#);
+            respond(r#"{"parameters":{"slots_up":1}}"#);
         } else {
             assert_eq!(target, format!("/v2/models/{FUNCTION}/infer"));
             let json = parse(&String::from_utf8_lossy(&body)).expect("JSON");
-            let told = part(object(&json).expect("an object"), "parameters").expect("parameters");
-            let word = |name: &str| text(told, name).unwrap_or("-").to_owned();
-            let (class, key, body) = (word("class"), word("token"), content(&body));
+            let parameters = part(object(&json).expect("an object"), "parameters").expect("parameters");
+            let parameter = |name: &str| text(parameters, name).unwrap_or("-").to_owned();
+            let (class, key, body) = (parameter("class"), parameter("token"), content(&body));
             let stream = stream.try_clone().expect("cloned");
-            let _ = seen.send(Call {
-                speech: Speech::Kserve,
-                came: Instant::now(),
-                hall,
+            let _ = calls.send(Call {
+                protocol: Protocol::Kserve,
+                received_at: Instant::now(),
+                zone,
                 id: 0,
                 class,
                 key,
                 body,
                 stream,
-                hush: Arc::default(),
+                muted: Arc::default(),
             });
         }
     }
 }
 
 impl Call {
-    /// Waits for the end of the connection; what else comes there is for the worker to read.
-    fn closed(&self, context: &str) {
+    /// Waits for the end of the connection, without reading from it.
+    fn expect_closed(&self, context: &str) {
         let since = Instant::now();
         while !matches!(self.stream.peek(&mut [0]), Ok(0) | Err(_)) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(since.elapsed() < PATIENCE, "{context}: it was open for long");
+        assert!(since.elapsed() < TIMEOUT, "{context}: the connection was open for too long");
     }
 
-    fn answer(&self, answer: &[&str]) {
-        let (code, status, body) = match *answer {
+    /// Replies to the call, as a scenario says.
+    fn reply(&self, reply: &[&str]) {
+        let (code, status, body) = match *reply {
             ["ok", body] => (200, "200 OK", body),
-            ["half" | "stall" | "spoilt"] => (200, "200 OK", "cut-short"),
+            ["truncated" | "stall" | "corrupt"] => (200, "200 OK", "cut-short"),
             ["miss"] => (202, "404 Not Found", ""),
             ["full"] => (203, "503 Service Unavailable", ""),
             ["error"] => (204, "500 Internal Server Error", ""),
-            _ => panic!("no such answer: {answer:?}"),
+            _ => panic!("no such reply: {reply:?}"),
         };
-        let bytes = match self.speech {
-            Speech::Platform => frame(code, self.id, "detail=resident", body.as_bytes()),
-            Speech::Kserve => {
+        let bytes = match self.protocol {
+            Protocol::Platform => reply_frame(code, self.id, "detail=resident", body.as_bytes()),
+            Protocol::Kserve => {
                 let data = format!(
                     r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
                 );
@@ -854,13 +919,13 @@
                 format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
             }
         };
-        let (half, last) = (*answer == ["half"], bytes.len() - 1);
-        let mut part = if half || *answer == ["stall"] { bytes[..last - 7].to_vec() } else { bytes };
-        if *answer == ["spoilt"] {
-            part[last] ^= 1;
+        let (truncated, last) = (*reply == ["truncated"], bytes.len() - 1);
+        let mut sent = if truncated || *reply == ["stall"] { bytes[..last - 7].to_vec() } else { bytes };
+        if *reply == ["corrupt"] {
+            sent[last] ^= 1;
         }
-        (&self.stream).write_all(&part).expect("written");
-        if half {
+        (&self.stream).write_all(&sent).expect("written");
+        if truncated {
             self.stream.shutdown(Shutdown::Both).expect("open");
         }
     }
--- a/heronslip/tests/discovery_outage.rs
+++ b/heronslip/tests/discovery_outage.rs
@@ -11,8 +11,10 @@
 //! come after discovery's return.
 mod common;
 
-use common::board_hand::{board, called, HEAD};
-use common::{call, connect, fastcgi_answer, frame, Plan, Received, Stage};
+use common::discovery_server::{accept_request, bind_discovery_server, RESPONSE_HEAD};
+use common::{
+    connect, fastcgi_call, read_fastcgi_response, reply_frame, CommandFrame, ProgramConfig, TestProgram,
+};
 use rstest::rstest;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -55,7 +57,7 @@
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        while let Ok(command) = Received::read(&mut stream) {
+        while let Ok(command) = CommandFrame::read(&mut stream) {
             let draining = self.draining.load(Ordering::Acquire);
             let (sent, code, fields) = match (command.code, command.field("slots_up")) {
                 (2, _) => (Sent::Call, if draining { 203 } else { 200 }, "detail=resident"),
@@ -66,7 +68,7 @@
             };
             self.received.lock().expect("sound").push((sent, Instant::now()));
             let body: &[u8] = if code == 200 && sent == Sent::Call { &command.body } else { &[] };
-            if stream.write_all(&frame(code, command.id, fields, body)).is_err() {
+            if stream.write_all(&reply_frame(code, command.id, fields, body)).is_err() {
                 return;
             }
         }
@@ -93,23 +95,28 @@
 
 /// A front end that knows these workers, has heard from discovery and lost it. The listener of a silent board is
 /// handed back, so that it stays silent.
-fn without_discovery(outage: Outage, workers: Vec<SocketAddr>) -> (Stage, Option<(TcpListener, TcpStream)>) {
-    let (listener, address) = board();
-    let stage = Stage::with(Plan { workers, board: address, ..Plan::default() });
-    let (mut stream, _) = called(&listener);
-    stream.write_all(format!("{HEAD}:\n\n").as_bytes()).expect("written");
-    assert_eq!(ask(&stage, 1), "Status: 200", "served while discovery is there");
+fn without_discovery(
+    outage: Outage, workers: Vec<SocketAddr>,
+) -> (TestProgram, Option<(TcpListener, TcpStream)>) {
+    let (listener, address) = bind_discovery_server();
+    let program =
+        TestProgram::with(ProgramConfig { workers, discovery_server: address, ..ProgramConfig::default() });
+    let (mut stream, _) = accept_request(&listener);
+    stream.write_all(format!("{RESPONSE_HEAD}:\n\n").as_bytes()).expect("written");
+    assert_eq!(ask(&program, 1), "Status: 200", "served while discovery is there");
     match outage {
-        Outage::Refused => (stage, None),
-        Outage::Silent => (stage, Some((listener, stream))),
+        Outage::Refused => (program, None),
+        Outage::Silent => (program, Some((listener, stream))),
     }
 }
 
 /// The status of a call's answer.
-fn ask(stage: &Stage, id: u16) -> String {
-    let mut client = connect(stage.front);
-    client.write_all(&call(1, &format!("{:016x}", 0xa0_0000 + u64::from(id)), "900", "x")).expect("written");
-    let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+fn ask(program: &TestProgram, id: u16) -> String {
+    let mut client = connect(program.fastcgi);
+    client
+        .write_all(&fastcgi_call(1, &format!("{:016x}", 0xa0_0000 + u64::from(id)), "900", "x"))
+        .expect("written");
+    let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
     head.lines().next().unwrap_or_default().split(' ').take(2).collect::<Vec<_>>().join(" ")
 }
 
@@ -119,11 +126,11 @@
 #[case::silent(Outage::Silent)]
 fn nothing_new_goes_to_a_worker_that_drains_during_an_outage(#[case] outage: Outage) {
     let (drains, address) = Worker::start();
-    let (stage, _board) = without_discovery(outage, vec![address]);
+    let (program, _board) = without_discovery(outage, vec![address]);
     drains.draining.store(true, Ordering::Release);
     std::thread::sleep(TOLD_AND_GRACE);
     let since = Instant::now();
-    assert_eq!(ask(&stage, 2), "Status: 503", "no worker takes it");
+    assert_eq!(ask(&program, 2), "Status: 503", "no worker takes it");
     assert_eq!(drains.new_work_since(since), 0, "{:?}", drains.received_since(since));
 }
 
@@ -133,13 +140,13 @@
 #[case::silent(Outage::Silent)]
 fn workers_that_are_ready_serve_through_an_outage(#[case] outage: Outage) {
     let workers: Vec<(Arc<Worker>, SocketAddr)> = (0..4).map(|_| Worker::start()).collect();
-    let (stage, _board) = without_discovery(outage, workers.iter().map(|w| w.1).collect());
+    let (program, _board) = without_discovery(outage, workers.iter().map(|w| w.1).collect());
     let drains = [&workers[0].0, &workers[1].0];
     drains.iter().for_each(|w| w.draining.store(true, Ordering::Release));
     std::thread::sleep(TOLD_AND_GRACE);
     let since = Instant::now();
     for id in 2..42 {
-        assert_eq!(ask(&stage, id), "Status: 200", "call {id}");
+        assert_eq!(ask(&program, id), "Status: 200", "call {id}");
     }
     for (n, worker) in drains.iter().enumerate() {
         assert_eq!(worker.new_work_since(since), 0, "worker {n}: {:?}", worker.received_since(since));
@@ -150,11 +157,11 @@
 #[test]
 fn a_worker_is_asked_before_it_gets_work_after_a_quiet_time() {
     let (worker, address) = Worker::start();
-    let (stage, _board) = without_discovery(Outage::Refused, vec![address]);
+    let (program, _board) = without_discovery(Outage::Refused, vec![address]);
     for id in 2..4 {
         std::thread::sleep(TOLD_AND_GRACE);
         let since = Instant::now();
-        assert_eq!(ask(&stage, id), "Status: 200");
+        assert_eq!(ask(&program, id), "Status: 200");
         assert_eq!(worker.received_since(since).first(), Some(&Sent::Question));
     }
 }
--- a/heronslip/tests/ending.rs
+++ b/heronslip/tests/ending.rs
@@ -1,7 +1,7 @@
 //! A planned end, its parts held at gates: what has connected, and what is on its way between coroutines.
 mod common;
 
-use common::{connect, context, fastcgi, fastcgi_front, PATIENCE};
+use common::{connect, fastcgi_request, start_fastcgi_server, test_context, TIMEOUT};
 use heronslip::front::{accept, Acceptor, FrontContext};
 use heronslip::messages::Message;
 use heronslip::net::{spawn, Permit, Socket};
@@ -20,14 +20,14 @@
         here.send(()).expect("awaited");
         open.recv().expect("opened");
     }
-    stream.write_within(b"1", PATIENCE).expect("written");
+    stream.write_within(b"1", TIMEOUT).expect("written");
     let _ = stream.read(&mut [0]); // until the client leaves
 }
 
 /// Connections wait to be accepted when the listener is to close: all of them are taken in first.
 #[test]
 fn what_has_connected_is_taken_in_before_the_listener_closes() {
-    let (context, _queue) = context(|limits| limits.stop_listening = PATIENCE);
+    let (context, _queue) = test_context(|limits| limits.stop_listening = TIMEOUT);
     let acceptor = Acceptor::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = acceptor.listener.local_addr().expect("bound");
     let ((open, opened), (here, arrived)) = (channel(), channel());
@@ -35,7 +35,7 @@
     let (inside, within) = (acceptor.clone(), context.clone());
     spawn(64 * 1024, move || accept(&inside, &within, "test", say_one)).expect("a coroutine");
     let mut clients = vec![connect(address)];
-    arrived.recv_timeout(PATIENCE).expect("the first connection is taken");
+    arrived.recv_timeout(TIMEOUT).expect("the first connection is taken");
     clients.extend((1..20).map(|_| connect(address)));
     let closing = std::thread::spawn({
         let (acceptor, context) = (acceptor.clone(), context.clone());
@@ -58,21 +58,21 @@
 /// A request that the reader has handed over and the core has not taken yet is still counted.
 #[test]
 fn a_request_on_its_way_to_the_core_is_counted() {
-    let (context, queue) = context(|_| ());
-    let mut client = connect(fastcgi_front(&context));
+    let (context, queue) = test_context(|_| ());
+    let mut client = connect(start_fastcgi_server(&context));
     let params = [
         ("SCRIPT_NAME", "/v1/any"),
         ("HTTP_REQ_ID", "00000000000000aa"),
         ("HTTP_REQ_WAIT_MS", "900"),
         ("HTTP_REQ_KEY", common::FUNCTION),
     ];
-    client.write_all(&fastcgi(1, &params, b"x")).expect("written");
-    let message = queue.recv_timeout(PATIENCE).expect("handed over");
+    client.write_all(&fastcgi_request(1, &params, b"x")).expect("written");
+    let message = queue.recv_timeout(TIMEOUT).expect("handed over");
     assert!(matches!(message, Message::Request(..)));
     // The reader goes on to wait for more: its part is done once it has seen the next, bad one through.
-    client.write_all(&fastcgi(2, &[], b"")).expect("written");
-    assert!(common::fastcgi_answer(&mut client).expect("an answer").0.starts_with("Status: 400"));
-    let until = Instant::now() + PATIENCE;
+    client.write_all(&fastcgi_request(2, &[], b"")).expect("written");
+    assert!(common::read_fastcgi_response(&mut client).expect("an answer").0.starts_with("Status: 400"));
+    let until = Instant::now() + TIMEOUT;
     while context.reading.load(Ordering::Acquire) > 1 && Instant::now() < until {
         std::thread::yield_now();
     }
--- a/heronslip/tests/fronts.rs
+++ b/heronslip/tests/fronts.rs
@@ -1,9 +1,9 @@
 //! The program as clients and workers meet it: every scenario through both fronts, to workers of both speeches.
 mod common;
 
-use common::{Speech, Stage};
+use common::{Protocol, TestProgram};
 use rstest::rstest;
-use Speech::{Kserve, Platform};
+use Protocol::{Kserve, Platform};
 
 /// One of each end that a request may come to.
 const MIX: &str = "
@@ -13,8 +13,8 @@
     client expect served ONE
     client send tile-order k1 two 3000
     worker expect tile-order k1 two
-    worker send half
-    worker expect tile-order k1 two same
+    worker send truncated
+    worker expect tile-order k1 two same-zone
     worker send ok TWO
     client expect served TWO
     client send tile-render - three 3000
@@ -34,26 +34,31 @@
 /// A connection that is of no further use ends, and what was open on it goes elsewhere, once.
 #[rstest]
 #[case::stops_midway("worker send stall\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
-fn useless_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
-    let stage = Stage::new(workers);
-    stage.play(Platform, &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"));
+fn useless_worker_connections_end(#[values(Platform, Kserve)] workers: Protocol, #[case] then: &str) {
+    let program = TestProgram::new(workers);
+    program.run_scenario(
+        Platform,
+        &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"),
+    );
 }
 
 /// A connection that stays open and mute ends too; one on which a call only takes long does not.
 #[rstest]
-#[case::mute("worker hush\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
+#[case::mute("worker mute\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
 #[case::slow("wait 600\nworker send ok X\nclient expect served X\nworker expect nothing")]
 fn mute_worker_connections_end(#[case] then: &str) {
     let send = "client send tile-render - x 3000\nworker expect tile-render - x";
-    Stage::new(Platform).play(Platform, &format!("{send}\n{then}"));
+    TestProgram::new(Platform).run_scenario(Platform, &format!("{send}\n{then}"));
 }
 
 /// The same mix through either front to either kind of worker comes to the same ends, and workers see the same.
 #[test]
 fn the_same_mix_ends_alike_on_every_path() {
-    let stages = [Platform, Kserve].map(Stage::new);
-    let seen: Vec<Vec<String>> =
-        stages.iter().flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIX))).collect();
+    let programs = [Platform, Kserve].map(TestProgram::new);
+    let seen: Vec<Vec<String>> = programs
+        .iter()
+        .flat_map(|program| [Platform, Kserve].map(|front| program.run_scenario(front, MIX)))
+        .collect();
     assert_eq!(seen[0].len(), 11);
     for other in &seen[1..] {
         assert_eq!(&seen[0], other);
@@ -66,8 +71,8 @@
     "
     client send tile-order k1 x 700
     worker expect tile-order k1 x
-    worker send half
-    worker expect tile-order k1 x same
+    worker send truncated
+    worker expect tile-order k1 x same-zone
     worker close
     client expect failed
     worker expect nothing"
@@ -78,7 +83,7 @@
     client send tile-order k2 x 2000
     worker expect tile-order k2 x
     worker send error
-    worker expect tile-order k2 x same
+    worker expect tile-order k2 x same-zone
     worker send ok DONE
     client expect served DONE"
 )]
@@ -107,7 +112,7 @@
     "
     client send tile-render - x 2000
     worker expect tile-render - x
-    worker send half
+    worker send truncated
     worker expect tile-render - x
     worker send ok DONE
     client expect served DONE"
@@ -140,8 +145,8 @@
     worker expect nothing"
 )]
 fn scenario(
-    #[case] lines: &str, #[values(Platform, Kserve)] front: Speech,
-    #[values(Platform, Kserve)] workers: Speech,
+    #[case] lines: &str, #[values(Platform, Kserve)] front: Protocol,
+    #[values(Platform, Kserve)] workers: Protocol,
 ) {
-    Stage::new(workers).play(front, lines);
+    TestProgram::new(workers).run_scenario(front, lines);
 }
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -1,8 +1,11 @@
 //! Clients that leave while what they asked for waits somewhere: nothing of it begins any more.
 mod common;
 
-use common::stand_ins::hanging_listener;
-use common::{call, connect, fastcgi_answer, frame, Hand, Plan, Received, Stage, PATIENCE};
+use common::stand_ins::saturated_listener;
+use common::{
+    connect, fastcgi_call, read_fastcgi_response, reply_frame, CommandFrame, ProgramConfig, ScriptedWorker,
+    TestProgram, TIMEOUT,
+};
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Payload, Request};
 use heronslip::worker::{frames::FrameTransport, ReportSender, Transport};
@@ -15,7 +18,7 @@
 /// A call waits for its connection, is given up, and only then the connection comes up: nothing is written on it.
 #[test]
 fn a_call_given_up_while_its_connection_comes_up_is_not_written() {
-    let (listener, fillers) = hanging_listener();
+    let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &heronslip_policy::Settings::default());
     limits.connect = Duration::from_secs(60);
@@ -55,23 +58,24 @@
 /// A client leaves with as many requests open as its connection takes: the close is seen, and all are taken back.
 #[test]
 fn a_client_that_leaves_at_its_cap_takes_all_back() {
-    let mut worker = Hand::new();
-    let stage = Stage::with(Plan { workers: vec![worker.address()], ..Plan::default() });
-    let mut client = connect(stage.front);
+    let mut worker = ScriptedWorker::new();
+    let program =
+        TestProgram::with(ProgramConfig { workers: vec![worker.address()], ..ProgramConfig::default() });
+    let mut client = connect(program.fastcgi);
     let mut out = BTreeSet::new();
     for n in 1..=32u16 {
-        client.write_all(&call(n, &format!("{n:016x}"), "60000", "x")).expect("written");
+        client.write_all(&fastcgi_call(n, &format!("{n:016x}"), "60000", "x")).expect("written");
         out.insert(worker.command().id);
     }
     assert_eq!(out.len(), 32);
-    client.write_all(&call(33, "00000000000000a1", "60000", "x")).expect("written");
-    assert_eq!(fastcgi_answer(&mut client).expect("an answer").2, 2, "overloaded");
+    client.write_all(&fastcgi_call(33, "00000000000000a1", "60000", "x")).expect("written");
+    assert_eq!(read_fastcgi_response(&mut client).expect("an answer").2, 2, "overloaded");
     drop(client);
     while !out.is_empty() {
         let command = worker.command();
         assert!(command.code == 3 && out.remove(&command.id), "code {}", command.code);
     }
-    stage.shows(r#""open_requests":0"#);
+    program.wait_for_state(r#""open_requests":0"#);
 }
 
 /// A client leaves while its request waits for a load: once the copy stands, nothing is sent for it.
@@ -80,28 +84,28 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let workers = vec![listener.local_addr().expect("bound")];
     let settings = common::SETTINGS.replace(r#""when-absent":"load""#, r#""when-absent":"miss""#);
-    let stage = Stage::with(Plan { workers, settings, ..Plan::default() });
-    let mut client = connect(stage.front);
-    client.write_all(&call(1, "00000000000000a1", "60000", "gone")).expect("written");
+    let program = TestProgram::with(ProgramConfig { workers, settings, ..ProgramConfig::default() });
+    let mut client = connect(program.fastcgi);
+    client.write_all(&fastcgi_call(1, "00000000000000a1", "60000", "gone")).expect("written");
     let (mut stream, _) = listener.accept().expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     let load = loop {
-        let order = Received::read(&mut stream).expect("an order");
+        let order = CommandFrame::read(&mut stream).expect("an order");
         assert_eq!(order.code, 6, "a call before the copy stands");
         if order.field("slots_up") != "0" {
             break order;
         }
-        stream.write_all(&frame(200, order.id, "slots_up=0", &[])).expect("written");
+        stream.write_all(&reply_frame(200, order.id, "slots_up=0", &[])).expect("written");
     };
     drop(client);
-    stage.shows(r#""open_requests":0"#);
-    stream.write_all(&frame(200, load.id, "slots_up=1", &[])).expect("written");
-    let mut other = connect(stage.front);
-    other.write_all(&call(1, "00000000000000a2", "60000", "other")).expect("written");
+    program.wait_for_state(r#""open_requests":0"#);
+    stream.write_all(&reply_frame(200, load.id, "slots_up=1", &[])).expect("written");
+    let mut other = connect(program.fastcgi);
+    other.write_all(&fastcgi_call(1, "00000000000000a2", "60000", "other")).expect("written");
     let first = loop {
-        let command = Received::read(&mut stream).expect("a command");
+        let command = CommandFrame::read(&mut stream).expect("a command");
         match command.code {
-            6 => stream.write_all(&frame(200, command.id, "slots_up=1", &[])).expect("written"),
+            6 => stream.write_all(&reply_frame(200, command.id, "slots_up=1", &[])).expect("written"),
             _ => break command,
         }
     };
--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -1,8 +1,8 @@
 //! System calls that fail for a moment, in the ways that Linux documents.
 mod common;
 
-use common::stand_ins::{counting_worker, obliging_worker};
-use common::{call, connect, fastcgi_answer, Plan, Stage, PATIENCE};
+use common::stand_ins::{counting_worker, serving_worker};
+use common::{connect, fastcgi_call, read_fastcgi_response, ProgramConfig, TestProgram, TIMEOUT};
 use heronslip_shim_control::{Call, ControlFile, Rates, CALLS, CONTROL_VARIABLE};
 use std::io::Write;
 use std::path::PathBuf;
@@ -43,12 +43,13 @@
 fn an_interrupted_read_loses_no_answer() {
     let (worker, calls) = counting_worker();
     let (environment, _) = failing(rates(&[(Call::Read, 800)]));
-    let stage = Stage::with(Plan { workers: vec![worker], environment, ..Plan::default() });
+    let program =
+        TestProgram::with(ProgramConfig { workers: vec![worker], environment, ..ProgramConfig::default() });
     let body = "x".repeat(4_000);
     for id in 1..=30 {
-        let mut client = connect(stage.front);
-        client.write_all(&call(1, &format!("{id:016x}"), "5000", &body)).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+        let mut client = connect(program.fastcgi);
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "5000", &body)).expect("written");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
         assert!(head.starts_with("Status: 200"), "{head}");
     }
     assert_eq!(calls.load(Ordering::Acquire), 30);
@@ -58,29 +59,29 @@
 #[test]
 fn a_planned_end_takes_connections_in_though_accepting_fails() {
     let (environment, control) = failing(rates(&[]));
-    let workers = vec![obliging_worker()];
-    let mut stage = Stage::with(Plan { workers, environment, ..Plan::default() });
+    let workers = vec![serving_worker()];
+    let mut program = TestProgram::with(ProgramConfig { workers, environment, ..ProgramConfig::default() });
     control.set_rates(&rates(&[(Call::Accept, 1_000)])).expect("written");
-    let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(stage.front))).collect();
+    let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(program.fastcgi))).collect();
     for (id, client) in &mut clients {
-        client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
     }
-    stage.signal("-TERM");
-    stage.logged("stop: closing the listeners");
+    program.signal("-TERM");
+    program.wait_for_log("stop: closing the listeners");
     std::thread::sleep(Duration::from_millis(50)); // several tries to accept
     control.set_rates(&rates(&[])).expect("written");
     for (id, client) in &mut clients {
-        let answer = fastcgi_answer(client).map(|(head, _, _)| head);
+        let answer = read_fastcgi_response(client).map(|(head, _, _)| head);
         assert!(answer.as_ref().is_ok_and(|head| head.starts_with("Status: ")), "client {id}: {answer:?}");
     }
-    assert!(stage.ended());
+    assert!(program.wait_for_exit());
 }
 
 /// No socket is to be had when the program starts: it goes on trying, and listens once there is one.
 #[test]
 fn a_start_waits_for_a_socket() {
     let (environment, control) = failing(rates(&[(Call::Socket, 1_000)]));
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let frees = std::thread::spawn(move || {
         let tries = || control.injected().expect("read")[Call::Socket as usize];
         while tries() < 3 && Instant::now() < until {
@@ -89,9 +90,13 @@
         control.set_rates(&rates(&[])).expect("written");
         tries()
     });
-    let mut stage = Stage::with(Plan { workers: vec![obliging_worker()], environment, ..Plan::default() });
+    let mut program = TestProgram::with(ProgramConfig {
+        workers: vec![serving_worker()],
+        environment,
+        ..ProgramConfig::default()
+    });
     assert!(frees.join().expect("sound") >= 3);
-    assert!(stage.stop());
+    assert!(program.terminate());
 }
 
 /// Accepts, sockets, connects, reads, writes and waits fail often, each for a moment: every call gets its answer.
@@ -100,13 +105,13 @@
     use Call::{Accept, Connect, Read, Socket, Wait, Write};
     let often = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
     let (environment, _) = failing(rates(&often));
-    let workers = vec![obliging_worker(), obliging_worker(), obliging_worker()];
-    let stage = Stage::with(Plan { workers, environment, ..Plan::default() });
+    let workers = vec![serving_worker(), serving_worker(), serving_worker()];
+    let program = TestProgram::with(ProgramConfig { workers, environment, ..ProgramConfig::default() });
     let (mut served, all) = (0, 60);
     for id in 1..=all {
-        let mut client = connect(stage.front);
-        client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+        let mut client = connect(program.fastcgi);
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
         served += usize::from(head.starts_with("Status: 200"));
     }
     assert!(served > all / 2, "{served} of {all} served");
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -1,7 +1,7 @@
 //! The transport of frames against sockets: what it writes, and when it lets connections go.
 mod common;
 
-use common::stand_ins::hanging_listener;
+use common::stand_ins::saturated_listener;
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Message, Payload, Request};
 use heronslip::worker::frames::{encode, FrameTransport, RemovedFrames, StartCondition, WriteQueue};
@@ -22,7 +22,7 @@
 /// Guards rule 3: what still waits for a connection when its worker drains is never written.
 #[test]
 fn an_order_that_waits_for_a_connection_is_not_written_after_a_drain() {
-    let (listener, fillers) = hanging_listener();
+    let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
     limits.connect = Duration::from_secs(20);
@@ -46,7 +46,7 @@
 /// What a worker is told of the time left counts from when it is told: the connection may come up late.
 #[test]
 fn the_budget_of_a_call_counts_the_wait_for_its_connection() {
-    let (listener, fillers) = hanging_listener();
+    let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
     limits.connect = Duration::from_secs(20);
--- a/heronslip/tests/wall_clock.rs
+++ b/heronslip/tests/wall_clock.rs
@@ -1,9 +1,11 @@
 //! The machine's wall clock stands an hour beside the one that stamps the starts of workers.
 mod common;
 
-use common::board_hand::{board, called, HEAD};
+use common::discovery_server::{accept_request, bind_discovery_server, RESPONSE_HEAD};
 use common::stand_ins::counting_worker;
-use common::{call, connect, fastcgi_answer, instance, tell, Plan, Stage, SETTINGS};
+use common::{
+    connect, fastcgi_call, instance, read_fastcgi_response, send_event, ProgramConfig, TestProgram, SETTINGS,
+};
 use std::io::Write;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,20 +17,25 @@
 fn calls_after_a_start(ahead_ms: i64, settings: &str, after: Duration) -> [usize; 2] {
     let (old, calls_of_old) = counting_worker();
     let (new, calls_of_new) = counting_worker();
-    let (listener, address) = board();
+    let (listener, address) = bind_discovery_server();
     let (settings, workers) = (settings.to_owned(), vec![old]);
-    let stage = Stage::with(Plan { settings, workers, board: address, ..Plan::default() });
-    let (mut stream, _) = called(&listener);
-    stream.write_all(format!("{HEAD}:\n\n").as_bytes()).expect("written");
+    let program = TestProgram::with(ProgramConfig {
+        settings,
+        workers,
+        discovery_server: address,
+        ..ProgramConfig::default()
+    });
+    let (mut stream, _) = accept_request(&listener);
+    stream.write_all(format!("{RESPONSE_HEAD}:\n\n").as_bytes()).expect("written");
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     let started = (unix + ahead_ms).unsigned_abs();
-    tell(&mut stream, 2, false, &[instance("new", new, "ready", started)]);
-    stage.listed("new", "ready", "told");
+    send_event(&mut stream, 2, false, &[instance("new", new, "ready", started)]);
+    program.wait_for_worker("new", "ready", "told");
     std::thread::sleep(after);
-    let mut client = connect(stage.front);
+    let mut client = connect(program.fastcgi);
     for id in 1..=200 {
-        client.write_all(&call(1, &format!("{id:016x}"), "900", "x")).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "900", "x")).expect("written");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
         assert!(head.starts_with("Status: 200"), "{head}");
     }
     [calls_of_old, calls_of_new].map(|calls| calls.load(Ordering::Acquire))
