--- a/heronslip/tests/discovery_bounds.rs
+++ b/heronslip/tests/discovery_bounds.rs
@@ -1,4 +1,4 @@
-//! Lists and events at their bounds, over a socket: each test is the board.
+//! Very long, repeated, cut, oversized and reordered list events. Each test plays the discovery server.
 mod common;
 
 use common::discovery_server::{accept_request, bind_discovery_server, RESPONSE_HEAD};
@@ -9,21 +9,22 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-const NOWHERE: &str = "127.0.0.1:9";
+/// An address at which no worker listens.
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
-fn at(text: &str) -> SocketAddr {
+fn address(text: &str) -> SocketAddr {
     text.parse().expect("an address")
 }
 
-/// So many workers, each at an address of its own.
-fn many(count: u32) -> Vec<String> {
+/// Instances of many workers, each with its own address.
+fn instances(count: u32) -> Vec<String> {
     let address = |n: u32| SocketAddr::from(([127, 9, (n >> 8) as u8, n as u8], 9));
     (0..count).map(|n| instance(&format!("many-{n:05}"), address(n), "ready", 0)).collect()
 }
 
-/// Far more than a megabyte in one event, told by the board: it counts, and the board is not called again for it.
+/// An event of far more than a megabyte is applied, without another request.
 #[test]
-fn a_long_list_comes_through() {
+fn a_long_list_is_applied() {
     let (listener, discovery_server) = bind_discovery_server();
     let program = TestProgram::start(ProgramConfig {
         discovery_server,
@@ -32,15 +33,15 @@
     });
     let (mut stream, _) = accept_request(&listener);
     stream.write_all(RESPONSE_HEAD.as_bytes()).expect("written");
-    send_event(&mut stream, 2, true, &many(12_500));
-    program.wait_for_worker("many-12499", "ready", "the last of the list");
-    send_event(&mut stream, 3, false, &[instance("many-00007", at(NOWHERE), "draining", 0)]);
-    program.wait_for_worker("many-00007", "draining", "the connection is the same");
+    send_event(&mut stream, 2, true, &instances(12_500));
+    program.wait_for_worker("many-12499", "ready", "the last worker of the list");
+    send_event(&mut stream, 3, false, &[instance("many-00007", address(UNUSED_ADDRESS), "draining", 0)]);
+    program.wait_for_worker("many-00007", "draining", "the connection is still followed");
 }
 
-/// A whole list that tells nothing new, on a new connection: calls that are out, and connections, stay as they are.
+/// A full list without changes leaves pending calls and worker connections as they are.
 #[test]
-fn a_list_that_is_known_changes_nothing() {
+fn a_full_list_without_changes_keeps_calls_and_connections() {
     let (listener, discovery_server) = bind_discovery_server();
     let mut worker = ScriptedWorker::new();
     let program = TestProgram::with(ProgramConfig {
@@ -55,8 +56,8 @@
     let mut client = connect(program.fastcgi);
     client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "x")).expect("written");
     let first = worker.command();
-    send_event(&mut stream, 3, true, &[same, instance("other", at(NOWHERE), "draining", 0)]);
-    program.wait_for_worker("other", "draining", "the list is in");
+    send_event(&mut stream, 3, true, &[same, instance("other", address(UNUSED_ADDRESS), "draining", 0)]);
+    program.wait_for_worker("other", "draining", "the list is applied");
     worker.serve(first.id, "ONE");
     assert_eq!(read_fastcgi_response(&mut client).expect("an answer").1, b"ONE");
     client.write_all(&fastcgi_call(2, "00000000000000a2", "9000", "y")).expect("written");
@@ -65,74 +66,75 @@
     assert_eq!(read_fastcgi_response(&mut client).expect("an answer").1, b"TWO");
 }
 
-/// A whole list is cut off inside and behind an entry: it changes nothing, and is asked for by the number before.
+/// A full list that is cut off inside or after an entry changes nothing, and is requested again by the last event id.
 #[test]
-fn a_list_that_is_cut_changes_nothing() {
+fn a_list_that_is_cut_off_changes_nothing() {
     let (listener, discovery_server) = bind_discovery_server();
     let program = TestProgram::with(ProgramConfig { discovery_server, ..ProgramConfig::default() });
-    let whole = format!(r#"{{"rev":2,"pool":{{"reset":true,"instances":[{}]}}}}"#, many(3).join(","));
-    let behind = whole.find("},{").expect("two entries") + 1;
-    for length in [behind, behind + 40] {
+    let full_list =
+        format!(r#"{{"rev":2,"pool":{{"reset":true,"instances":[{}]}}}}"#, instances(3).join(","));
+    let after_entry = full_list.find("},{").expect("two entries") + 1;
+    for length in [after_entry, after_entry + 40] {
         let (mut stream, head) = accept_request(&listener);
         assert!(head.contains("Last-Event-ID: 1\r\n"), "{head}");
         stream
-            .write_all(format!("{RESPONSE_HEAD}id: 2\ndata: {}", &whole[..length]).as_bytes())
+            .write_all(format!("{RESPONSE_HEAD}id: 2\ndata: {}", &full_list[..length]).as_bytes())
             .expect("written");
     }
     let (mut stream, head) = accept_request(&listener);
     assert!(head.contains("Last-Event-ID: 1\r\n"), "{head}");
-    program.wait_for_worker("w0", "ready", "it was not left out");
-    program.wait_for_worker("many-00000", "absent", "it was not let in");
-    stream.write_all(format!("{RESPONSE_HEAD}id: 2\ndata: {whole}\n\n").as_bytes()).expect("written");
-    program.wait_for_worker("many-00002", "ready", "the whole list");
-    program.wait_for_worker("w0", "absent", "the whole list leaves it out");
+    program.wait_for_worker("w0", "ready", "the cut list did not remove it");
+    program.wait_for_worker("many-00000", "absent", "the cut list did not add it");
+    stream.write_all(format!("{RESPONSE_HEAD}id: 2\ndata: {full_list}\n\n").as_bytes()).expect("written");
+    program.wait_for_worker("many-00002", "ready", "the full list is applied");
+    program.wait_for_worker("w0", "absent", "the full list does not name it");
 }
 
-/// An entry over its bound: asked for once more, then passed over with its size and bound; the list before holds, and
-/// the board is not called a third time.
+/// An event with an oversized entry is requested once more. Then it is skipped, and the log names its size and the bound:
+/// the list stays as it was, and the connection goes on.
 #[test]
-fn a_giant_entry_is_passed_over_and_work_goes_on() {
+fn an_event_with_an_oversized_entry_is_skipped() {
     let (listener, discovery_server) = bind_discovery_server();
     let program = TestProgram::with(ProgramConfig { discovery_server, ..ProgramConfig::default() });
-    let giant = instance(&"x".repeat(100_000), at(NOWHERE), "ready", 0);
+    let oversized = instance(&"x".repeat(100_000), address(UNUSED_ADDRESS), "ready", 0);
     let (mut stream, _) = accept_request(&listener);
     stream.write_all(RESPONSE_HEAD.as_bytes()).expect("written");
-    send_event(&mut stream, 2, true, std::slice::from_ref(&giant));
+    send_event(&mut stream, 2, true, std::slice::from_ref(&oversized));
     let (mut stream, head) = accept_request(&listener);
     assert!(head.contains("Last-Event-ID: 1\r\n"), "{head}");
     stream.write_all(RESPONSE_HEAD.as_bytes()).expect("written");
-    send_event(&mut stream, 2, true, &[giant]);
+    send_event(&mut stream, 2, true, &[oversized]);
     program.wait_for_log("an entry of more than 4096 bytes");
     program.wait_for_log("cannot be used");
-    program.wait_for_worker("w0", "ready", "the list before holds");
-    send_event(&mut stream, 3, false, &[instance("w1", at(NOWHERE), "draining", 0)]);
-    program.wait_for_worker("w1", "draining", "the connection is the same");
+    program.wait_for_worker("w0", "ready", "the list stays as it was");
+    send_event(&mut stream, 3, false, &[instance("w1", address(UNUSED_ADDRESS), "draining", 0)]);
+    program.wait_for_worker("w1", "draining", "the connection is still followed");
 }
 
-/// Events that come out of order: what is missing between is asked for; what comes twice counts once.
+/// Events arrive out of order: missing ones are requested, and repeated ones are applied once.
 #[test]
-fn an_event_that_was_left_out_is_asked_for() {
+fn a_missing_event_is_requested() {
     let (listener, discovery_server) = bind_discovery_server();
     let program = TestProgram::with(ProgramConfig { discovery_server, ..ProgramConfig::default() });
     let (mut stream, _) = accept_request(&listener);
     stream.write_all(RESPONSE_HEAD.as_bytes()).expect("written");
-    let new = |id: &str| instance(id, at(NOWHERE), "draining", 0);
-    send_event(&mut stream, 3, false, &[new("three")]);
+    let draining = |id: &str| instance(id, address(UNUSED_ADDRESS), "draining", 0);
+    send_event(&mut stream, 3, false, &[draining("three")]);
     let (mut stream, head) = accept_request(&listener);
     assert!(head.contains("Last-Event-ID: 1\r\n"), "{head}");
     stream.write_all(RESPONSE_HEAD.as_bytes()).expect("written");
-    send_event(&mut stream, 2, false, &[new("two")]);
-    send_event(&mut stream, 3, false, &[new("three")]);
-    send_event(&mut stream, 2, false, &[new("two").replace("draining", "gone")]);
-    send_event(&mut stream, 4, false, &[new("four")]);
-    program.wait_for_worker("four", "draining", "the last event is in");
-    program.wait_for_worker("two", "draining", "it was asked for, and counted once");
-    program.wait_for_worker("three", "draining", "it counts when its turn comes");
+    send_event(&mut stream, 2, false, &[draining("two")]);
+    send_event(&mut stream, 3, false, &[draining("three")]);
+    send_event(&mut stream, 2, false, &[draining("two").replace("draining", "gone")]);
+    send_event(&mut stream, 4, false, &[draining("four")]);
+    program.wait_for_worker("four", "draining", "the last event is applied");
+    program.wait_for_worker("two", "draining", "it was requested, and applied once");
+    program.wait_for_worker("three", "draining", "it is applied in order");
 }
 
-/// A line that never ends, of no field that matters: nothing of it is kept, and it is no word from the board.
+/// An endless line of an unknown field is neither buffered nor taken for progress: the program reconnects.
 #[test]
-fn an_endless_line_holds_nobody() {
+fn an_endless_line_does_not_keep_the_connection() {
     let (listener, discovery_server) = bind_discovery_server();
     let _program = TestProgram::start(ProgramConfig { discovery_server, ..ProgramConfig::default() });
     let (mut stream, _) = accept_request(&listener);
--- a/heronslip/tests/list_events.rs
+++ b/heronslip/tests/list_events.rs
@@ -1,4 +1,4 @@
-//! Readers of the board's stream and list, fed by hand, byte by byte.
+//! The parsers of the discovery service's event stream and worker list.
 use heronslip::discovery::event_stream::{EventStream, StreamItem};
 use heronslip::discovery::json_array::ScanError;
 use heronslip::discovery::{EventBounds, EventError, EventReader, WorkerTable};
@@ -24,18 +24,18 @@
     assert_eq!(found, [pair("7", "{\"a\":\r1}\r"), pair("8", "x")]);
 }
 
-/// Reads an event; its entries, how many could not be read, and whether it is the whole list.
+/// Parses an event. Returns its valid entries, the number of invalid ones, and whether it is a full list.
 fn read(text: &str) -> Result<(Vec<Member>, usize, bool), EventError> {
     let mut reader = EventReader::new(BOUNDS);
-    let (mut members, mut unreadable) = (Vec::new(), 0);
+    let (mut members, mut invalid) = (Vec::new(), 0);
     for byte in text.bytes() {
         match reader.push(byte)? {
             Some(Ok(member)) => members.push(member),
-            Some(Err(_)) => unreadable += 1,
+            Some(Err(_)) => invalid += 1,
             None => {}
         }
     }
-    Ok((members, unreadable, reader.finish()?))
+    Ok((members, invalid, reader.finish()?))
 }
 
 fn entry(id: &str) -> String {
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn an_event_becomes_members() {
+fn an_event_is_parsed() {
     let text = event(true, &format!("{}, {}", entry("s-1"), entry("s-2")));
-    let (members, unreadable, full) = read(&text).expect("sound");
+    let (members, invalid, full) = read(&text).expect("a valid event");
     let m = &members[0];
-    assert_eq!((members.len(), unreadable, full), (2, 0, true));
+    assert_eq!((members.len(), invalid, full), (2, 0, true));
     assert_eq!((m.id.as_str(), m.zone.as_str(), m.state), ("s-1", "a]}\",", WorkerState::Draining));
     assert_eq!((m.started_at, m.cell), (5_000, 2));
 }
@@ -61,37 +61,38 @@
 #[rstest]
 #[case::no_entries("", 0, 0)]
 #[case::a_number(&format!("7,{}", entry("a")), 1, 1)]
-#[case::a_word_at_the_end(&format!("{} , null ", entry("a")), 1, 1)]
-#[case::a_text("\"a,b]\"", 0, 1)]
+#[case::a_literal_at_the_end(&format!("{} , null ", entry("a")), 1, 1)]
+#[case::a_string("\"a,b]\"", 0, 1)]
 #[case::an_array("[[1],{}]", 0, 1)]
-fn entries_that_are_no_objects_spoil_no_others(
-    #[case] instances: &str, #[case] sound: usize, #[case] unreadable: usize,
+fn entries_that_are_not_objects_do_not_affect_others(
+    #[case] instances: &str, #[case] valid: usize, #[case] invalid: usize,
 ) {
-    let (members, skipped, full) = read(&event(false, instances)).expect("an event");
-    assert_eq!((members.len(), skipped, full), (sound, unreadable, false));
+    let (members, skipped, full) = read(&event(false, instances)).expect("a valid event");
+    assert_eq!((members.len(), skipped, full), (valid, invalid, false));
 }
 
 #[rstest]
 #[case::no_comma(&event(true, "{}{}"), EventError::Scan(ScanError::Malformed))]
 #[case::two_commas(&event(true, "{},,{}"), EventError::Scan(ScanError::Malformed))]
 #[case::a_comma_at_the_end(&event(true, "{},"), EventError::Scan(ScanError::Malformed))]
-#[case::cut_in_an_entry(&event(true, &entry("a"))[..90], EventError::Scan(ScanError::Malformed))]
-#[case::cut_behind_an_entry(
+#[case::cut_inside_an_entry(&event(true, &entry("a"))[..90], EventError::Scan(ScanError::Malformed))]
+#[case::cut_after_an_entry(
     "{\"pool\":{\"reset\":true,\"instances\":[{}",
     EventError::Scan(ScanError::Malformed)
 )]
-#[case::two_texts("{}{}", EventError::Scan(ScanError::Malformed))]
-#[case::nothing("", EventError::Scan(ScanError::Malformed))]
+#[case::two_objects("{}{}", EventError::Scan(ScanError::Malformed))]
+#[case::empty("", EventError::Scan(ScanError::Malformed))]
 #[case::no_pool("{\"rev\":2}", EventError::NoPool)]
-#[case::no_list("{\"pool\":{\"reset\":true}}", EventError::NoInstances)]
-#[case::a_giant_entry(&event(true, &entry(&"x".repeat(300))), EventError::EntryTooLong(256))]
-#[case::many_entries(&event(true, "{},{},{},{}"), EventError::TooManyEntries(3))]
-#[case::much_beside(&format!("{{\"x\":\"{}\"", "y".repeat(5_000)), EventError::Scan(ScanError::OutsideTooLong(4096)))]
-fn an_event_that_cannot_be_used_is_told_from_a_sound_one(#[case] text: &str, #[case] error: EventError) {
-    assert_eq!(read(text).expect_err("it cannot be used"), error);
+#[case::no_instances("{\"pool\":{\"reset\":true}}", EventError::NoInstances)]
+#[case::an_oversized_entry(&event(true, &entry(&"x".repeat(300))), EventError::EntryTooLong(256))]
+#[case::too_many_entries(&event(true, "{},{},{},{}"), EventError::TooManyEntries(3))]
+#[case::too_much_outside_the_entries(&format!("{{\"x\":\"{}\"", "y".repeat(5_000)), EventError::Scan(ScanError::OutsideTooLong(4096)))]
+fn unusable_events_are_rejected(#[case] text: &str, #[case] error: EventError) {
+    assert_eq!(read(text).expect_err("an error"), error);
 }
 
-fn told(table: &mut WorkerTable, full: bool, entries: &[&str]) -> Vec<(String, WorkerState)> {
+/// Applies an event, and returns the changes. An entry is two characters of id, one digit of port, and the lifecycle.
+fn apply(table: &mut WorkerTable, full: bool, entries: &[&str]) -> Vec<(String, WorkerState)> {
     let mut staged = table.begin_event();
     for text in entries {
         let text = format!(
@@ -106,42 +107,42 @@
 }
 
 #[test]
-fn only_what_changes_is_told() {
+fn only_changes_are_passed_on() {
     let mut table = WorkerTable::default();
     let (ready, gone) = (WorkerState::Ready, WorkerState::Gone);
     let one = |id: &str, state| (id.to_owned(), state);
-    assert_eq!(told(&mut table, true, &["w11 ready", "w22 ready", "w33 ready"]).len(), 3);
-    assert_eq!(told(&mut table, true, &["w33 ready", "w11 ready", "w22 ready"]), []);
-    assert_eq!(told(&mut table, false, &["w22 ready"]), []);
+    assert_eq!(apply(&mut table, true, &["w11 ready", "w22 ready", "w33 ready"]).len(), 3);
+    assert_eq!(apply(&mut table, true, &["w33 ready", "w11 ready", "w22 ready"]), []);
+    assert_eq!(apply(&mut table, false, &["w22 ready"]), []);
     assert_eq!(
-        told(&mut table, true, &["w11 ready", "w33 draining"]),
+        apply(&mut table, true, &["w11 ready", "w33 draining"]),
         [one("w2", gone), one("w3", WorkerState::Draining)]
     );
-    // The last word of an event counts, also where it says what was known.
-    let both = told(&mut table, false, &["w11 draining", "w11 ready"]);
+    // The last entry of an event for a worker applies, even if it repeats what was known before the event.
+    let both = apply(&mut table, false, &["w11 draining", "w11 ready"]);
     assert_eq!(both, [one("w1", WorkerState::Draining), one("w1", ready)]);
-    assert_eq!(told(&mut table, false, &["w99 gone"]), [], "nobody knows it");
+    assert_eq!(apply(&mut table, false, &["w99 gone"]), [], "an unknown worker");
 }
 
-/// The core lets one of two workers at an address stand there: it has to hear again of both who that may be.
+/// The core keeps only one worker per address: to choose again, it needs the entries of all workers that share one.
 #[test]
-fn workers_at_one_address_are_told_each_time() {
+fn workers_that_share_an_address_are_always_passed_on() {
     let mut table = WorkerTable::default();
-    told(&mut table, true, &["w11 ready", "w21 ready"]);
-    let names: Vec<String> = told(&mut table, true, &["w11 ready"]).into_iter().map(|t| t.0).collect();
+    apply(&mut table, true, &["w11 ready", "w21 ready"]);
+    let names: Vec<String> = apply(&mut table, true, &["w11 ready"]).into_iter().map(|t| t.0).collect();
     assert_eq!(names, ["w2", "w1"]);
-    assert_eq!(told(&mut table, true, &["w11 ready"]), []);
+    assert_eq!(apply(&mut table, true, &["w11 ready"]), []);
 }
 
-/// An event that is dropped before its end leaves no trace.
+/// An event that is dropped before it is committed changes nothing.
 #[test]
-fn an_event_that_breaks_off_changes_nothing() {
+fn an_uncommitted_event_changes_nothing() {
     let mut table = WorkerTable::default();
-    told(&mut table, true, &["w11 ready", "w22 ready"]);
+    apply(&mut table, true, &["w11 ready", "w22 ready"]);
     let mut staged = table.begin_event();
     let text = br#"{"instanceId":"w1","hostPort":"127.0.0.1:5","lifecycle":"draining"}"#;
     table.stage(heronslip::discovery::instance::parse_instance(text), &mut staged);
     drop(staged);
-    assert_eq!(told(&mut table, true, &["w11 ready", "w22 ready"]), []);
+    assert_eq!(apply(&mut table, true, &["w11 ready", "w22 ready"]), []);
     assert_eq!(table.len(), 2);
 }
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -1,4 +1,5 @@
-//! The transport of frames against sockets: what it writes, and when it lets connections go.
+//! The transport of the binary protocol: what it writes, what it removes before it is written, and when it closes
+//! connections.
 mod common;
 
 use common::stand_ins::saturated_listener;
@@ -13,27 +14,27 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-/// A transport to this address, on one scheduler thread as the program has it.
-fn frames(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> FrameTransport {
+/// A transport to this address. It runs on one scheduler thread, as in the program.
+fn frame_transport(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> FrameTransport {
     heronslip::net::schedule(&limits);
     FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
-/// Guards rule 3: what still waits for a connection when its worker drains is never written.
+/// Rule 3: a worker that drains gets no new work. A load command that still waits for its connection is not written.
 #[test]
-fn an_order_that_waits_for_a_connection_is_not_written_after_a_drain() {
+fn a_load_command_that_waits_for_a_connection_is_not_written_after_a_drain() {
     let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
     limits.connect = Duration::from_secs(20);
     let (queue, reports) = mpsc::channel();
-    let mut transport = frames(address, limits, queue);
+    let mut transport = frame_transport(address, limits, queue);
     transport.send_load(1, 7, 1, None);
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
         Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::Moot),
-        _ => panic!("the order did not end"),
+        _ => panic!("the load command did not end"),
     }
     drop((transport, fillers)); // closes every connection from this side
     for mut stream in accepted {
@@ -43,44 +44,44 @@
     }
 }
 
-/// What a worker is told of the time left counts from when it is told: the connection may come up late.
+/// A connect may take long: the budget in a call is the time that remains when the call is written.
 #[test]
-fn the_budget_of_a_call_counts_the_wait_for_its_connection() {
+fn the_budget_of_a_call_excludes_the_wait_for_its_connection() {
     let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
     limits.connect = Duration::from_secs(20);
     let (queue, _reports) = mpsc::channel();
-    let mut transport = frames(address, limits, queue);
+    let mut transport = frame_transport(address, limits, queue);
     let since = Instant::now();
     let budget = Duration::from_secs(60);
     let key = AttemptKey { request: 1, attempt: 0 };
     transport.send_attempt(key, &request(9), budget.as_micros() as u64, None);
     std::thread::sleep(Duration::from_millis(500));
     let waited = since.elapsed();
-    drop(fillers); // their ends are read as empty connections
-    let told = loop {
+    drop(fillers); // these are accepted as connections without data
+    let written_ms = loop {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut first = [0];
         if stream.peek(&mut first).is_ok_and(|n| n > 0) {
-            let (_, _, fields) = command(&mut stream);
-            let told = fields.split("budget=").nth(1).expect("a budget").to_owned();
-            break told.split(',').next().expect("a figure").parse().expect("a number");
+            let (_, _, fields) = read_command(&mut stream);
+            let rest = fields.split("budget=").nth(1).expect("a budget").to_owned();
+            break rest.split(',').next().expect("a value").parse().expect("a number");
         }
     };
-    assert!(Duration::from_millis(told) <= budget - waited, "{told} ms are told after {waited:?}");
+    assert!(Duration::from_millis(written_ms) <= budget - waited, "{written_ms} ms after {waited:?}");
 }
 
-/// Guards descriptors: an order that gets no answer must not hold its connection for ever.
+/// A load command without a reply must not keep its connection, and thus a descriptor, for ever.
 #[test]
-fn a_connection_whose_order_was_lost_closes_after_it_lapsed() {
+fn a_connection_closes_after_its_load_command_was_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (queue, _reports) = mpsc::channel();
-    let mut transport = frames(address, Limits::new(192, 1024, &Settings::default()), queue);
+    let mut transport = frame_transport(address, Limits::new(192, 1024, &Settings::default()), queue);
     transport.send_load(1, 7, 1, None);
     let (mut stream, _) = listener.accept().expect("a connection");
-    stream.read_exact(&mut [0; 52]).expect("the order");
+    stream.read_exact(&mut [0; 52]).expect("the load command");
     transport.abandon(1);
     transport.retire();
     let since = Instant::now();
@@ -89,7 +90,11 @@
         transport.sweep();
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(stream.read_to_end(&mut Vec::new()).expect("closed"), 0, "more than the order was written");
+    assert_eq!(
+        stream.read_to_end(&mut Vec::new()).expect("closed"),
+        0,
+        "more than the load command was written"
+    );
 }
 
 fn request(wire_id: u64) -> Arc<Request> {
@@ -111,8 +116,8 @@
     })
 }
 
-/// Reads a command off a connection: its code, id and fields.
-fn command(stream: &mut TcpStream) -> (u8, u64, String) {
+/// Reads a command: its code, id and fields.
+fn read_command(stream: &mut TcpStream) -> (u8, u64, String) {
     let mut head = [0; 16];
     stream.read_exact(&mut head).expect("a command");
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
@@ -123,7 +128,8 @@
     (head[1], id, String::from_utf8_lossy(&rest[..fields]).into_owned())
 }
 
-fn reply(stream: &mut TcpStream, code: u8, id: u64, fields: &str) {
+/// Writes a reply without a body.
+fn write_reply(stream: &mut TcpStream, code: u8, id: u64, fields: &str) {
     let mut frame = vec![127, code];
     frame.extend((fields.len() as u16).to_be_bytes());
     frame.extend([0; 4]);
@@ -133,108 +139,109 @@
     stream.write_all(&frame).expect("written");
 }
 
-/// The module spreads calls by what workers hold: an answer's load report must not stay behind on the way.
+/// The policy balances calls by the number of requests in flight that workers report, so the transport must pass it on.
 #[rstest]
-#[case::the_settings_word("detail=resident,use=busy_reqs:2.5;x1:1", Some(2.5))]
-#[case::the_protocols_word("use=x1:3;inflight:7", Some(7.0))]
-#[case::none("detail=resident", None)]
-#[case::no_number("use=busy_reqs:many", None)]
-fn the_load_report_of_an_answer_is_passed_on(#[case] fields: &str, #[case] told: Option<f64>) {
+#[case::name_in_the_settings("detail=resident,use=busy_reqs:2.5;x1:1", Some(2.5))]
+#[case::name_in_the_protocol("use=x1:3;inflight:7", Some(7.0))]
+#[case::not_reported("detail=resident", None)]
+#[case::not_a_number("use=busy_reqs:many", None)]
+fn the_reported_number_of_requests_is_passed_on(#[case] fields: &str, #[case] inflight: Option<f64>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (queue, reports) = mpsc::channel();
-    let mut transport = frames(address, Limits::new(192, 1024, &Settings::default()), queue);
+    let mut transport = frame_transport(address, Limits::new(192, 1024, &Settings::default()), queue);
     transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
-    let (_, id, _) = command(&mut stream);
-    reply(&mut stream, 203, id, fields);
+    let (_, id, _) = read_command(&mut stream);
+    write_reply(&mut stream, 203, id, fields);
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(_, report)) => assert_eq!(report.inflight, told),
+        Ok(Message::Ended(_, report)) => assert_eq!(report.inflight, inflight),
         _ => panic!("the attempt did not end"),
     }
 }
 
-/// Bytes that leave, in pieces of this size.
-fn leave(outgoing: &mut WriteQueue, mut bytes: usize) -> Vec<u8> {
-    let mut left = Vec::new();
-    while bytes > 0 && !outgoing.is_empty() {
-        let n = outgoing.front().len().min(bytes);
-        left.extend(&outgoing.front()[..n]);
-        outgoing.consume(n);
+/// Takes up to this many bytes from the queue, as if they were written.
+fn write_out(queue: &mut WriteQueue, mut bytes: usize) -> Vec<u8> {
+    let mut written = Vec::new();
+    while bytes > 0 && !queue.is_empty() {
+        let n = queue.front().len().min(bytes);
+        written.extend(&queue.front()[..n]);
+        queue.consume(n);
         bytes -= n;
     }
-    left
+    written
 }
 
-/// The worker drains while the socket takes nothing more: calls of which no byte has left are taken back, and what
-/// has begun, what gives others up and what only asks still goes, whole and in order.
+/// The worker drains while the socket is not writable. Calls of which no byte has been written are removed. Calls that
+/// have been written in part, cancels and copy queries stay, complete and in order.
 #[test]
-fn a_drain_takes_back_unbegun_calls_and_nothing_else() {
+fn a_drain_removes_unstarted_calls_and_nothing_else() {
     let frame = |code, id| encode(code, id, "queue=c,path=7", b"body");
-    let (begun, unbegun, give_up) = (frame(2, 1), frame(2, 2), encode(3, 9, "", b""));
-    let (question, last) = (frame(6, 3), frame(2, 4));
-    let (new, now) = (StartCondition::WhileReady { deadline: None }, Instant::now());
-    let mut outgoing = WriteQueue::new(4096);
-    outgoing.push(&begun, Some((1, new)));
-    outgoing.push(&unbegun, Some((2, new)));
-    outgoing.push(&give_up, None);
-    outgoing.push(&question, Some((3, StartCondition::Always)));
-    outgoing.push(&last, Some((4, new)));
-    let mut left = leave(&mut outgoing, 5);
-    let end = (begun.len() + give_up.len() + question.len()) as u64;
-    assert_eq!(outgoing.remove_expired(true, now), RemovedFrames { ids: vec![2, 4], moved: vec![(3, end)] });
-    assert_eq!(outgoing.remove_expired(true, now), RemovedFrames::default(), "once");
-    left.extend(leave(&mut outgoing, usize::MAX));
-    assert_eq!(left, [begun, give_up, question].concat());
+    let (started, unstarted, cancel) = (frame(2, 1), frame(2, 2), encode(3, 9, "", b""));
+    let (query, last) = (frame(6, 3), frame(2, 4));
+    let (while_ready, now) = (StartCondition::WhileReady { deadline: None }, Instant::now());
+    let mut queue = WriteQueue::new(4096);
+    queue.push(&started, Some((1, while_ready)));
+    queue.push(&unstarted, Some((2, while_ready)));
+    queue.push(&cancel, None);
+    queue.push(&query, Some((3, StartCondition::Always)));
+    queue.push(&last, Some((4, while_ready)));
+    let mut written = write_out(&mut queue, 5);
+    let end = (started.len() + cancel.len() + query.len()) as u64;
+    assert_eq!(queue.remove_expired(true, now), RemovedFrames { ids: vec![2, 4], moved: vec![(3, end)] });
+    assert_eq!(queue.remove_expired(true, now), RemovedFrames::default(), "they are removed once");
+    written.extend(write_out(&mut queue, usize::MAX));
+    assert_eq!(written, [started, cancel, query].concat());
 }
 
-fn ended(reports: &mpsc::Receiver<Message>) -> (AttemptKey, Outcome) {
+/// Waits for the end of an attempt.
+fn attempt_end(reports: &mpsc::Receiver<Message>) -> (AttemptKey, Outcome) {
     match reports.recv_timeout(Duration::from_secs(20)) {
         Ok(Message::Ended(key, report)) => (key, report.outcome),
         _ => panic!("no attempt ended"),
     }
 }
 
-/// A client takes a call back and sends another under its id at once, or after it was served: the answer to the
-/// first, or its second copy, must not end the other. That one is not sent where the first was.
+/// A client cancels a call and reuses its id at once, or reuses the id of a served call. A reply to the first call (or a
+/// repeated one) must not end the second, so the second is not sent on that connection.
 #[rstest]
-#[case::given_up(false)]
+#[case::cancelled(false)]
 #[case::served(true)]
-fn an_id_is_not_used_again_where_its_answer_may_still_come(#[case] served: bool) {
+fn an_id_is_not_reused_where_its_reply_may_still_come(#[case] served: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (queue, reports) = mpsc::channel();
     let limits = Limits::new(192, 1024, &Settings::default());
-    let mut transport = frames(listener.local_addr().expect("bound"), limits, queue);
+    let mut transport = frame_transport(listener.local_addr().expect("bound"), limits, queue);
     let [first, second] = [1, 2].map(|request| AttemptKey { request, attempt: 0 });
     transport.send_attempt(first, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
-    assert_eq!(command(&mut stream).0, 2);
+    assert_eq!(read_command(&mut stream).0, 2);
     if served {
-        reply(&mut stream, 200, 9, "");
-        assert_eq!(ended(&reports), (first, Outcome::Ok));
+        write_reply(&mut stream, 200, 9, "");
+        assert_eq!(attempt_end(&reports), (first, Outcome::Ok));
     } else {
         transport.cancel_attempt(first);
-        assert_eq!(command(&mut stream).0, 3);
+        assert_eq!(read_command(&mut stream).0, 3);
     }
     transport.send_attempt(second, &request(9), 1_000_000, None);
-    reply(&mut stream, 200, 9, ""); // the answer to the first crosses
-    assert_eq!(ended(&reports), (second, Outcome::Moot));
+    write_reply(&mut stream, 200, 9, ""); // the reply to the first call
+    assert_eq!(attempt_end(&reports), (second, Outcome::Moot));
 }
 
-/// Turned away unseen, a call may come back to the same worker, on the same connection, under its id.
+/// A call that was rejected without a run may be sent again to the same worker, on the same connection and under its id.
 #[test]
-fn a_call_turned_away_may_come_again() {
+fn a_rejected_call_may_be_sent_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (queue, reports) = mpsc::channel();
     let limits = Limits::new(192, 1024, &Settings::default());
-    let mut transport = frames(listener.local_addr().expect("bound"), limits, queue);
+    let mut transport = frame_transport(listener.local_addr().expect("bound"), limits, queue);
     let mut stream = None;
     for (attempt, (code, outcome)) in [(203, Outcome::Full), (200, Outcome::Ok)].into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
         transport.send_attempt(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
-        assert_eq!(command(stream).0, 2);
-        reply(stream, code, 9, "");
-        assert_eq!(ended(&reports), (key, outcome));
+        assert_eq!(read_command(stream).0, 2);
+        write_reply(stream, code, 9, "");
+        assert_eq!(attempt_end(&reports), (key, outcome));
     }
 }
--- a/heronslip/tests/worker_list.rs
+++ b/heronslip/tests/worker_list.rs
@@ -1,12 +1,12 @@
-//! The notice board as it fails and moves, and the list that the program makes of it.
+//! The program follows the worker list while the discovery service fails and moves.
 mod common;
 
 use common::{Protocol, TestProgram};
 use rstest::rstest;
 
 #[rstest]
-// Guards against the end of the program at SIGHUP, and against a list that stands still after it.
-#[case::moves(
+// SIGHUP must neither end the program nor stop it from following the list.
+#[case::address_changes(
     "
     discovery expect 1
     discovery send 2 w0 draining
@@ -27,7 +27,7 @@
     program reload
     discovery expect 2"
 )]
-#[case::written_twice(
+#[case::repeated_event(
     "
     discovery expect 1
     discovery send 2 w0 draining
@@ -37,8 +37,8 @@
     list expect w1 draining
     list expect w0 ready"
 )]
-// A new worker stands where another did, of which no end has been told.
-#[case::an_address_taken_over(
+// A new worker takes the address of another, whose end the list has not reported.
+#[case::an_address_is_taken_over(
     "
     discovery expect 1
     discovery send 2 old ready
@@ -47,8 +47,8 @@
     list expect new ready
     list expect old absent"
 )]
-// Asked for again once, then passed over.
-#[case::unreadable_event(
+// An invalid event is requested again once, and then skipped.
+#[case::invalid_event(
     "
     discovery expect 1
     discovery send 2 w0 asleep
@@ -57,12 +57,12 @@
     discovery send 3 w1 draining
     list expect w1 draining"
 )]
-// A stop with the connection open.
-#[case::silent(
+// The server stops sending and leaves the connection open.
+#[case::silent_server(
     "
     discovery expect 1
     discovery expect 1"
 )]
-fn the_list_follows_the_board(#[case] scenario: &str) {
+fn the_program_follows_the_worker_list(#[case] scenario: &str) {
     TestProgram::new(Protocol::Platform).run_scenario(Protocol::Platform, scenario);
 }
