--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -46,7 +46,7 @@
     Io(#[from] std::io::Error),
     #[error("the service closed the connection")]
     Closed,
-    #[error("nothing was received for too long")]
+    #[error("no complete line or entry was received for too long")]
     Silent,
     #[error("the service's address has changed")]
     AddressChanged,
@@ -256,7 +256,7 @@
             if let Err(why) = run_connection(service, address, &mut subscriber, limits) {
                 subscriber.report_lost();
                 connection_ends.log(format!(
-                    "discovery: connection to {address} ended, last event {}: {why}",
+                    "discovery: connection to {address} ended, will resume after event {}: {why}",
                     subscriber.last_event
                 ));
             }
@@ -272,7 +272,8 @@
 fn run_connection(
     service: &ServiceAddress, address: SocketAddr, subscriber: &mut Subscriber, limits: &Limits,
 ) -> Result<(), ConnectionError> {
-    // A change counts as known to front ends 4 s after it is published, however long connects to workers may take.
+    // The connect timeout for workers may be too long here: a change of the list counts as known to front ends 4 s
+    // after it is published.
     let connect_timeout = limits.connect.min(limits.board_silence / 2);
     let mut stream = TcpStream::connect_timeout(&address, connect_timeout)?;
     stream.set_read_timeout(Some(limits.board_check))?;
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -24,6 +24,13 @@
 const CODE_PROBE: u8 = 5;
 const CODE_LOAD: u8 = 6;
 const CODE_UNLOAD: u8 = 8;
+const CODE_OK: u8 = 200;
+/// Reply to a call: the function is not loaded.
+const CODE_NOT_LOADED: u8 = 202;
+const CODE_REJECTED: u8 = 203;
+const CODE_ERROR: u8 = 204;
+/// Reply to a call: its budget was used up before it ran.
+const CODE_EXPIRED: u8 = 205;
 /// Reply to a probe: the worker accepts work.
 const CODE_ACCEPTING: u8 = 206;
 /// Reply to a probe: the worker does not accept work.
@@ -128,11 +135,11 @@
 /// The outcome that a reply's code stands for.
 fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
-        200 => Outcome::Ok,
-        202 => Outcome::Miss,
-        203 => Outcome::Full,
-        204 => Outcome::Error,
-        205 => Outcome::Moot,
+        CODE_OK => Outcome::Ok,
+        CODE_NOT_LOADED => Outcome::Miss,
+        CODE_REJECTED => Outcome::Full,
+        CODE_ERROR => Outcome::Error,
+        CODE_EXPIRED => Outcome::Moot,
         CODE_ACCEPTING => Outcome::Ok,
         CODE_NOT_ACCEPTING => Outcome::Full,
         _ => return None,
