--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -171,7 +171,7 @@
     }
 
     /// Handles the end of an event. An invalid event is requested once more, as it may have been corrupted on its way.
-    /// If it is invalid again, the invalid part is skipped: otherwise the service would be asked for it for ever.
+    /// If it is invalid again, the invalid part is skipped: otherwise the service would be asked for it forever.
     fn end_event(&mut self, id: &str, event: IncomingEvent) -> Result<(), ConnectionError> {
         let number: u64 = id.parse().map_err(|_| ConnectionError::EventId(id.to_owned()))?;
         // The service may send an event twice. An old one would undo the changes that followed it.
@@ -244,7 +244,7 @@
     }
 }
 
-/// Follows the worker list for ever. Whenever the connection ends or the address changes, it reconnects with a backoff
+/// Follows the worker list forever. Whenever the connection ends or the address changes, it reconnects with a backoff
 /// and resumes after the last event.
 pub fn follow(service: &ServiceAddress, mut subscriber: Subscriber, limits: &Limits, seed: u64) {
     let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, seed);
--- a/heronslip/tests/discovery_bounds.rs
+++ b/heronslip/tests/discovery_bounds.rs
@@ -59,11 +59,11 @@
     send_event(&mut stream, 3, true, &[same, instance("other", address(UNUSED_ADDRESS), "draining", 0)]);
     program.wait_for_worker("other", "draining", "the list is applied");
     worker.serve(first.id, "ONE");
-    assert_eq!(read_fastcgi_response(&mut client).expect("an answer").1, b"ONE");
+    assert_eq!(read_fastcgi_response(&mut client).expect("a response").1, b"ONE");
     client.write_all(&fastcgi_call(2, "00000000000000a2", "9000", "y")).expect("written");
     let second = worker.command();
     worker.serve(second.id, "TWO");
-    assert_eq!(read_fastcgi_response(&mut client).expect("an answer").1, b"TWO");
+    assert_eq!(read_fastcgi_response(&mut client).expect("a response").1, b"TWO");
 }
 
 /// A full list that is cut off inside or after an entry changes nothing, and is requested again by the last event id.
@@ -91,7 +91,7 @@
 }
 
 /// An event with an oversized entry is requested once more. Then it is skipped, and the log names its size and the bound:
-/// the list stays as it was, and the connection goes on.
+/// the list stays as it was, and the connection stays open.
 #[test]
 fn an_event_with_an_oversized_entry_is_skipped() {
     let (listener, discovery_server) = bind_discovery_server();
--- a/heronslip/tests/discovery_outage.rs
+++ b/heronslip/tests/discovery_outage.rs
@@ -113,7 +113,7 @@
     client
         .write_all(&fastcgi_call(1, &format!("{:016x}", 0xa0_0000 + u64::from(id)), "900", "x"))
         .expect("written");
-    let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
+    let (head, _, _) = read_fastcgi_response(&mut client).expect("a response");
     head.lines().next().unwrap_or_default().split(' ').take(2).collect::<Vec<_>>().join(" ")
 }
 
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -72,7 +72,7 @@
     assert!(Duration::from_millis(written_ms) <= budget - waited, "{written_ms} ms after {waited:?}");
 }
 
-/// A load command without a reply must not keep its connection, and thus a descriptor, for ever.
+/// A load command without a reply must not keep its connection, and thus a descriptor, forever.
 #[test]
 fn a_connection_closes_after_its_load_command_was_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/heronslip/tests/wall_clock.rs
+++ b/heronslip/tests/wall_clock.rs
@@ -35,7 +35,7 @@
     let mut client = connect(program.fastcgi);
     for id in 1..=200 {
         client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "900", "x")).expect("written");
-        let (head, _, _) = read_fastcgi_response(&mut client).expect("an answer");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("a response");
         assert!(head.starts_with("Status: 200"), "{head}");
     }
     [calls_of_old, calls_of_new].map(|calls| calls.load(Ordering::Acquire))
