--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -2,7 +2,7 @@
 //! output. It translates and decides nothing.
 #![forbid(unsafe_code)]
 
-use heronslip_policy::json::{flag, number, object, part, position, span, text as word, whole as figure};
+use heronslip_policy::json::{as_object, boolean, index_of, millis, number, object, string, unsigned};
 use heronslip_policy::*;
 use miniserde::json::{self, Number, Object, Value};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
         let (name, fields) = message(&line).map_err(|e| format!("line {}: {e}", number + 1))?;
         match (name.as_str(), frame) {
             ("FRAME", None) => {
-                let read = || Ok((micros(&fields, "moment")?, whole(&fields, "n")?));
+                let read = || Ok((require_micros(&fields, "moment")?, require_unsigned(&fields, "n")?));
                 frame = Some(read().map_err(|e: String| format!("line {}: FRAME: {e}", number + 1))?);
             }
             ("COMMIT", Some((_, n))) => {
@@ -53,7 +53,7 @@
             }
             (_, Some((now, _))) => {
                 let wrong = |e: String| format!("line {}: {name}: {e}", number + 1);
-                let gateway = whole(&fields, "gateway").map_err(wrong)?;
+                let gateway = require_unsigned(&fields, "gateway").map_err(wrong)?;
                 event(&mut instances, gateway, now, &name, &fields, &mut actions).map_err(wrong)?;
                 for action in actions.drain(..) {
                     let (name, body) = translate(gateway, action);
@@ -90,32 +90,32 @@
     }
 }
 
-fn whole(fields: &Fields, key: &str) -> Res<u64> {
-    figure(fields, key).ok_or_else(|| format!("'{key}' is not a whole number"))
+fn require_unsigned(fields: &Fields, key: &str) -> Res<u64> {
+    unsigned(fields, key).ok_or_else(|| format!("'{key}' is not a whole number"))
 }
 
-fn text<'a>(fields: &'a Fields, key: &str) -> Res<&'a str> {
-    word(fields, key).ok_or_else(|| format!("'{key}' is not a text"))
+fn require_string<'a>(fields: &'a Fields, key: &str) -> Res<&'a str> {
+    string(fields, key).ok_or_else(|| format!("'{key}' is not a text"))
 }
 
-fn micros(fields: &Fields, key: &str) -> Res<Micros> {
-    number(fields, key).map(|_| span(fields, key)).ok_or_else(|| format!("'{key}' is not a number"))
+fn require_micros(fields: &Fields, key: &str) -> Res<Micros> {
+    number(fields, key).map(|_| millis(fields, key)).ok_or_else(|| format!("'{key}' is not a number"))
 }
 
 fn function(fields: &Fields) -> Res<FunctionId> {
-    FunctionId::from_str_radix(text(fields, "image")?, 16).map_err(|e| format!("'image': {e}"))
+    FunctionId::from_str_radix(require_string(fields, "image")?, 16).map_err(|e| format!("'image': {e}"))
 }
 
 fn outcome(fields: &Fields) -> Res<Outcome> {
-    Ok(match text(fields, "status")? {
+    Ok(match require_string(fields, "status")? {
         "S" => Outcome::Ok,
         "E" => Outcome::Error,
-        "F" => Outcome::Full,
+        "F" => Outcome::Rejected,
         "T" => Outcome::Timeout,
         "C" => Outcome::ConnectFailed,
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
-        "N" => Outcome::Moot,
+        "N" => Outcome::NotSent,
         "M" => Outcome::Miss,
         other => return Err(format!("unknown status '{other}'")),
     })
@@ -127,8 +127,8 @@
 ) -> Res<()> {
     match name {
         "SPAWN" => {
-            let settings = Settings::from_json(part(fields, "conf").ok_or("'conf' is not an object")?);
-            let controller = Controller::new(settings.clone(), whole(fields, "salt")?);
+            let settings = Settings::from_json(object(fields, "conf").ok_or("'conf' is not an object")?);
+            let controller = Controller::new(settings.clone(), require_unsigned(fields, "salt")?);
             instances.insert(gateway, Instance { controller, settings });
             return Ok(());
         }
@@ -143,7 +143,7 @@
     };
     let event = match name {
         "DISCOVERY" => {
-            let mode = text(fields, "mode")?;
+            let mode = require_string(fields, "mode")?;
             if mode == "refused" {
                 return Ok(());
             }
@@ -154,51 +154,52 @@
                 Some(_) => return Err("'elements' is not an array".into()),
             };
             let entries = elements.iter().map(|e| entry(instance, e)).collect::<Res<Vec<_>>>()?;
-            Event::Members { full: mode != "changes", entries }
+            Event::WorkerList { full: mode != "changes", entries }
         }
         "JOB_IN" => Event::Request {
-            id: whole(fields, "id")?,
-            class: instance.settings.class(word(fields, "qos").unwrap_or_default()),
-            tenant: word(fields, "team").and_then(|name| instance.settings.tenant(name)),
+            id: require_unsigned(fields, "id")?,
+            class: instance.settings.class_index(string(fields, "qos").unwrap_or_default()),
+            tenant: string(fields, "team").and_then(|name| instance.settings.tenant_index(name)),
             function: function(fields)?,
-            left: micros(fields, "left")?,
+            timeout: require_micros(fields, "left")?,
             memory_mb: number(fields, "ram-mb").unwrap_or(0.0),
-            lanes: span(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
-            load_time: span(fields, "bringup-ms"),
-            retry: flag(fields, "resent"),
+            lanes: millis(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
+            load_time: millis(fields, "bringup-ms"),
+            retry: boolean(fields, "resent"),
         },
         "FINISHED" => {
             let outcome = outcome(fields)?;
-            let note = figure(fields, "note").unwrap_or(0);
-            let crowd = (note >> 3) as u32;
+            let note = unsigned(fields, "note").unwrap_or(0);
+            let function_inflight = (note >> 3) as u32;
             Event::Outcome {
-                id: whole(fields, "id")?,
-                attempt: whole(fields, "hop")? as usize,
+                id: require_unsigned(fields, "id")?,
+                attempt: require_unsigned(fields, "hop")? as usize,
                 outcome,
-                elapsed: span(fields, "elapsed"),
-                closed: flag(fields, "no-more"),
+                elapsed: millis(fields, "elapsed"),
+                closed: boolean(fields, "no-more"),
                 warm: match note & 7 {
                     1 => Some(true),
                     2 | 3 => Some(false),
                     _ => None,
                 },
-                crowd: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Full)).then_some(crowd),
-                inflight: part(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
+                function_inflight: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Rejected))
+                    .then_some(function_inflight),
+                inflight: object(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
             }
         }
-        "WITHDRAWN" => Event::Withdrawn { id: whole(fields, "id")? },
-        "ALARM" => Event::Timer { token: whole(fields, "ctx")? },
+        "WITHDRAWN" => Event::Withdrawn { id: require_unsigned(fields, "id")? },
+        "ALARM" => Event::Timer { token: require_unsigned(fields, "ctx")? },
         "WARMED" => Event::Loaded {
-            worker: text(fields, "host")?.to_owned(),
+            worker: require_string(fields, "host")?.to_owned(),
             function: function(fields)?,
-            count: figure(fields, "copies").unwrap_or(0).min(1 << 16) as u32,
+            count: unsigned(fields, "copies").unwrap_or(0).min(1 << 16) as u32,
             outcome: outcome(fields)?,
-            elapsed: span(fields, "elapsed"),
+            elapsed: millis(fields, "elapsed"),
         },
         "PONG" => Event::Probed {
-            worker: text(fields, "host")?.to_owned(),
+            worker: require_string(fields, "host")?.to_owned(),
             outcome: outcome(fields)?,
-            inflight: part(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
+            inflight: object(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
         },
         "MAIL" | "ACK_FIRST" => return Ok(()), // the module mails and streams nothing
         _ => return Err("unknown event".into()),
@@ -207,20 +208,20 @@
     Ok(())
 }
 
-fn entry(instance: &Instance, value: &Value) -> Res<Entry> {
-    let fields = object(value).ok_or("a list entry is not an object")?;
-    Ok(Entry {
-        worker: text(fields, "host")?.to_owned(),
-        state: match word(fields, "mode") {
+fn entry(instance: &Instance, value: &Value) -> Res<WorkerEntry> {
+    let fields = as_object(value).ok_or("a list entry is not an object")?;
+    Ok(WorkerEntry {
+        worker: require_string(fields, "host")?.to_owned(),
+        state: match string(fields, "mode") {
             Some("on") => WorkerState::Ready,
             Some("fading") => WorkerState::Draining,
             Some("off") => WorkerState::Gone,
             _ => return Err("'mode' of a list entry is unknown".into()),
         },
-        started_at: span(fields, "started-at"),
-        zone: position(&instance.settings.zones, word(fields, "az")),
-        kind: position(&instance.settings.kinds, word(fields, "kind")),
-        cell: figure(fields, "cluster").unwrap_or(0),
+        started_at: millis(fields, "started-at"),
+        zone: index_of(&instance.settings.zones, string(fields, "az")),
+        machine_type: index_of(&instance.settings.machine_types, string(fields, "kind")),
+        cell: unsigned(fields, "cluster").unwrap_or(0),
     })
 }
 
@@ -244,9 +245,9 @@
         Action::Load { worker, function, count: copies } => {
             ("START_COPY", vec![host(worker), image(function), ("copies", count(copies.into()))])
         }
-        Action::Drop { worker, function } => ("RELEASE_IDLE", vec![host(worker), image(function)]),
+        Action::Unload { worker, function } => ("RELEASE_IDLE", vec![host(worker), image(function)]),
         Action::Probe { worker } => ("INSPECT", vec![host(worker)]),
-        Action::Watch => ("WATCH", vec![("on", Value::Bool(true))]),
+        Action::Subscribe => ("WATCH", vec![("on", Value::Bool(true))]),
         Action::Log { text } => ("JOURNAL_LINE", vec![msg(text)]),
     };
     fields.push(("gateway", count(gateway)));
--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -2,7 +2,7 @@
 use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
-use heronslip_policy::json::{as_text, number, parse, part, text, whole};
+use heronslip_policy::json::{as_str, number, object, parse, string, unsigned};
 use heronslip_policy::Settings;
 use miniserde::json::{Object, Value};
 use std::io::Read as _;
@@ -121,7 +121,7 @@
 
 fn address(fields: &Object, key: &str) -> Read<Option<SocketAddr>> {
     let parse = |t: &str| t.parse().map_err(|_| format!("'{key}' is not HOST:PORT: {t}"));
-    fields.get(key).and_then(as_text).map(parse).transpose()
+    fields.get(key).and_then(as_str).map(parse).transpose()
 }
 
 impl Config {
@@ -148,20 +148,20 @@
 
     fn read(fields: &Object, listen: Option<String>, name: Option<String>) -> Read<Config> {
         let empty = Object::new();
-        let part = |key: &str| part(fields, key).unwrap_or(&empty);
-        let settings = Settings::from_json(part("settings"));
-        let limit = |key: &str, other: f64| number(part("limits"), key).unwrap_or(other) as u64;
+        let section = |key: &str| object(fields, key).unwrap_or(&empty);
+        let settings = Settings::from_json(section("settings"));
+        let limit = |key: &str, other: f64| number(section("limits"), key).unwrap_or(other) as u64;
         let listen = match listen {
             Some(l) => Some(l.parse().map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?),
             None => address(fields, "listen")?,
         };
-        let seed = text(fields, "seed").unwrap_or("0");
+        let seed = string(fields, "seed").unwrap_or("0");
         Ok(Config {
-            name: name.or(text(fields, "name").map(str::to_owned)).unwrap_or_default(),
+            name: name.or(string(fields, "name").map(str::to_owned)).unwrap_or_default(),
             listen: listen.ok_or("no address to listen on")?,
             board: address(fields, "board")?,
             known: Vec::new(),
-            known_to: whole(part("known"), "rev").unwrap_or(0),
+            known_to: unsigned(section("known"), "rev").unwrap_or(0),
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("'seed' is not hex: {seed}"))?,
             limits: Limits::new(limit("memory_mb", 192.0), limit("sockets", 1024.0), &settings),
             settings,
@@ -173,7 +173,7 @@
 impl Kserve {
     fn read(path: &str) -> Read<Kserve> {
         let fields = file(path)?;
-        let endpoints = match text(&fields, "endpoints") {
+        let endpoints = match string(&fields, "endpoints") {
             Some(beside) => {
                 let folder = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
                 Some(file(&folder.join(beside).to_string_lossy())?)
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -10,7 +10,9 @@
 use crate::limits::Limits;
 use crate::messages::{Answer, AttemptKey, Client, Member, Message, Report, Request, Speech};
 use crate::worker::{transport, Reports};
-use heronslip_policy::{Action, Controller, Effect, Entry, Event, Micros, Outcome, Settings, WorkerState};
+use heronslip_policy::{
+    Action, Controller, Event, Micros, Outcome, RetrySafety, Settings, WorkerEntry, WorkerState,
+};
 use miniserde::json::{self, Number, Object, Value};
 use peers::{one_at_an_address, Peer, Peers};
 use start_times::StartTimes;
@@ -70,12 +72,12 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "answered with an error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::Timeout => "no answer in time",
         Outcome::ConnectFailed => "no connection",
         Outcome::Reset => "its connection ended",
         Outcome::Cancelled => "called off",
-        Outcome::Moot => "not sent",
+        Outcome::NotSent => "not sent",
         Outcome::Miss => "the function is not loaded there",
     }
 }
@@ -194,11 +196,11 @@
         if self.shared.ending.load(Ordering::Acquire) {
             return client.answer(tag, Answer::Refused { wait: self.settings.max_retry_after / 2 });
         }
-        let class = self.settings.class(&request.class);
-        let tenant = self.settings.tenant(&request.tenant);
+        let class = self.settings.class_index(&request.class);
+        let tenant = self.settings.tenant_index(&request.tenant);
         let known = self.settings.classes.get(class);
         // Guards keyed work: without its key no worker could drop a repeat.
-        let keyed = known.is_some_and(|c| c.effect == Effect::Keyed);
+        let keyed = known.is_some_and(|c| c.retry_safety == RetrySafety::Deduplicated);
         let fault = match () {
             () if known.is_none() => Some("unknown class"),
             () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
@@ -212,7 +214,7 @@
             return client.answer(tag, Answer::Failed);
         }
         // Guards memory and a planned end: a request's timers stay for as long as its client is said to wait.
-        let most = known.map(|c| c.give_up).filter(|&span| span > 0);
+        let most = known.map(|c| c.client_timeout).filter(|&span| span > 0);
         request.wait = request.wait.min(most.unwrap_or(request.wait));
         self.last += 1;
         let id = self.last;
@@ -223,7 +225,7 @@
             class,
             tenant,
             function: request.function,
-            left,
+            timeout: left,
             memory_mb: request.memory_mb,
             lanes: request.lanes,
             load_time: request.load_time,
@@ -325,7 +327,7 @@
             elapsed,
             closed,
             warm,
-            crowd,
+            function_inflight: crowd,
             inflight,
         });
     }
@@ -439,7 +441,7 @@
                 let until = self.until(&worker);
                 match self.peers.reach(&worker).filter(may) {
                     Some(peer) if room => peer.transport.order(order, function, count, until),
-                    Some(_) => self.reports.ordered(order, Outcome::Moot, 0),
+                    Some(_) => self.reports.ordered(order, Outcome::NotSent, 0),
                     None => self.reports.ordered(order, Outcome::ConnectFailed, 0),
                 }
                 self.timers.set(now + self.limits.order, Due::Order(order));
@@ -451,20 +453,20 @@
                 let room = self.make_room(&worker, true);
                 match self.peers.reach(&worker) {
                     Some(peer) if room => peer.transport.probe(probe),
-                    Some(_) => self.reports.probed(probe, Outcome::Moot, None),
+                    Some(_) => self.reports.probed(probe, Outcome::NotSent, None),
                     None => self.reports.probed(probe, Outcome::ConnectFailed, None),
                 }
                 self.probes.insert(probe, worker);
                 self.timers.set(now + self.limits.probe, Due::Probe(probe));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 let room = self.make_room(&worker, true);
                 if let Some(peer) = self.peers.reach(&worker).filter(|_| room) {
                     peer.transport.unload(function);
                 }
             }
             Action::Log { text } => note!("module: {text}"),
-            Action::Watch => {} // the board tells by itself
+            Action::Subscribe => {} // the board tells by itself
         }
     }
 
@@ -479,7 +481,7 @@
     /// Until when the first byte of something new may go to a worker. The module's decision may wait for a
     /// connection or a full socket, and what it rests on may run out meanwhile.
     fn until(&self, worker: &str) -> Option<Instant> {
-        self.controller.lease_of(worker).map(|end| self.clock.instant(end))
+        self.controller.worker_lease_end(worker).map(|end| self.clock.instant(end))
     }
 
     /// Whether an exchange with a worker finds a connection or may open one. Guards the descriptors: where
@@ -524,7 +526,7 @@
                 self.timers.set(now.saturating_add(budget), Due::Attempt(key));
             }
             _ => {
-                self.end(key, Report::bare(Outcome::Moot));
+                self.end(key, Report::bare(Outcome::NotSent));
                 self.forget(id);
             }
         }
@@ -552,26 +554,26 @@
             log!("member: {quiet} more have changed, {} are known", self.peers.len());
         }
         if !entries.is_empty() {
-            self.events.push_back(Event::Members { full: false, entries });
+            self.events.push_back(Event::WorkerList { full: false, entries });
         }
         self.shared.ready.store(true, Ordering::Release);
     }
 
     /// Takes over what is told of one worker; the same for the module.
-    fn member(&mut self, mut member: Member, starts: &StartTimes) -> Entry {
+    fn member(&mut self, mut member: Member, starts: &StartTimes) -> WorkerEntry {
         let known = self.peers.get_mut(&member.id);
         if let Some(peer) = known.as_ref().filter(|_| member.state == WorkerState::Gone) {
             member = peer.gone(); // a list that leaves it out tells no more of it
         }
-        let place = |names: &[String], name: &str| heronslip_policy::json::position(names, Some(name));
+        let place = |names: &[String], name: &str| heronslip_policy::json::index_of(names, Some(name));
         let same_process = known.as_ref().filter(|peer| peer.member.started_at == member.started_at);
         let started_at = same_process.map_or_else(|| starts.of(member.started_at), |peer| peer.started_at);
-        let entry = Entry {
+        let entry = WorkerEntry {
             worker: member.id.clone(),
             state: member.state,
             started_at,
             zone: place(&self.settings.zones, &member.zone),
-            kind: place(&self.settings.kinds, &member.kind),
+            machine_type: place(&self.settings.machine_types, &member.kind),
             cell: member.cell,
         };
         // An address may be taken over by a worker that is new: what was open to the old one stays there.
--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -1,6 +1,6 @@
 //! One entry of the board's list.
 use crate::messages::{Member, Speech};
-use heronslip_policy::json::{parse, span, text, whole};
+use heronslip_policy::json::{millis, parse, string, unsigned};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
 
@@ -24,13 +24,13 @@
         return Err(Unreadable { id: None, problem: "an instance that is no object".to_owned() });
     };
     member(&fields).map_err(|problem| {
-        let id = heronslip_policy::json::text(&fields, "instanceId").map(str::to_owned);
+        let id = heronslip_policy::json::string(&fields, "instanceId").map(str::to_owned);
         Unreadable { id, problem }
     })
 }
 
 fn member(fields: &Object) -> Result<Member, String> {
-    let word = |key: &str| text(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
+    let word = |key: &str| string(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
     let (id, address) = (word("instanceId")?.to_owned(), word("hostPort")?);
     Ok(Member {
         address: address.parse().map_err(|_| format!("{id}: address {address}"))?,
@@ -40,10 +40,10 @@
             "gone" => WorkerState::Gone,
             other => return Err(format!("{id}: state {other}")),
         },
-        started_at: span(fields, "startedAtMs"),
-        zone: text(fields, "zone").unwrap_or_default().to_owned(),
-        kind: text(fields, "machineType").unwrap_or_default().to_owned(),
-        cell: whole(fields, "cell").unwrap_or(0),
+        started_at: millis(fields, "startedAtMs"),
+        zone: string(fields, "zone").unwrap_or_default().to_owned(),
+        kind: string(fields, "machineType").unwrap_or_default().to_owned(),
+        cell: unsigned(fields, "cell").unwrap_or(0),
         speech: Speech::Frames,
         id,
     })
--- a/heronslip/src/discovery/list_event.rs
+++ b/heronslip/src/discovery/list_event.rs
@@ -3,7 +3,7 @@
 use super::instance::{instance, Unreadable};
 use super::json_array::{ArrayScanner, Place, ScanError};
 use crate::messages::Member;
-use heronslip_policy::json::{flag, parse, part};
+use heronslip_policy::json::{boolean, object, parse};
 use miniserde::json::Value;
 
 /// Most bytes of an event beside its entries.
@@ -91,8 +91,8 @@
     pub fn finish(self) -> Result<bool, EventError> {
         let outside = String::from_utf8(self.scanner.finish()?).map_err(|_| ScanError::Malformed)?;
         let Ok(Value::Object(event)) = parse(&outside) else { return Err(ScanError::Malformed.into()) };
-        let pool = part(&event, "pool").ok_or(EventError::NoPool)?;
-        let full = flag(pool, "reset");
+        let pool = object(&event, "pool").ok_or(EventError::NoPool)?;
+        let full = boolean(pool, "reset");
         if full && !matches!(pool.get("instances"), Some(Value::Array(_))) {
             return Err(EventError::NoInstances);
         }
--- a/heronslip/src/front/kserve.rs
+++ b/heronslip/src/front/kserve.rs
@@ -6,7 +6,7 @@
 use crate::net::{timed_out, Occupant, Outbox, Permit, Socket};
 use crate::ring::Ring;
 use crate::worker::kserve::wrap_answer;
-use heronslip_policy::json::{flag, number, object, parse, part, text};
+use heronslip_policy::json::{as_object, boolean, number, object, parse, string};
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
 use std::collections::VecDeque;
@@ -27,7 +27,7 @@
         Answer::Served(Payload::Bytes(body)) => {
             // A worker of the platform's protocol: JSON passes unchanged, other bytes as one tensor.
             let whole = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-            let body = if whole.as_ref().and_then(object).is_some() { body } else { wrap_answer(&body) };
+            let body = if whole.as_ref().and_then(as_object).is_some() { body } else { wrap_answer(&body) };
             response("200 OK", "", &body, close)
         }
         Answer::Refused { wait } => {
@@ -341,10 +341,10 @@
 /// The neutral request behind a v2 body, which itself stays as it is.
 fn neutral(name: &str, body: Vec<u8>, limits: &Limits) -> Result<Request, &'static str> {
     let whole = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-    let fields = whole.as_ref().and_then(object).ok_or("the body is no JSON object")?;
+    let fields = whole.as_ref().and_then(as_object).ok_or("the body is no JSON object")?;
     let empty = Object::new();
-    let told = part(fields, "parameters").unwrap_or(&empty);
-    let token = text(told, "token");
+    let told = object(fields, "parameters").unwrap_or(&empty);
+    let token = string(told, "token");
     if token.is_some_and(|t| !token_fits(t)) {
         return Err("the key cannot travel");
     }
@@ -360,14 +360,14 @@
     };
     figures.check(limits)?;
     Ok(Request {
-        wire_id: wire_id(text(fields, "id")),
-        class: text(told, "class").ok_or("no 'class' among the parameters")?.to_owned(),
-        tenant: text(told, "tenant").unwrap_or_default().to_owned(),
+        wire_id: wire_id(string(fields, "id")),
+        class: string(told, "class").ok_or("no 'class' among the parameters")?.to_owned(),
+        tenant: string(told, "tenant").unwrap_or_default().to_owned(),
         function: function(name).ok_or("unknown model")?,
         wait: (figures.wait_ms * 1000.0) as u64,
         read_at: Instant::now(),
         token: token.map(str::to_owned),
-        retry: flag(told, "retry"),
+        retry: boolean(told, "retry"),
         memory_mb: figures.memory_mb,
         lanes: figures.lanes as u32,
         load_time: (figures.load_ms * 1000.0) as u64,
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -107,9 +107,9 @@
         let memory = memory_mb.clamp(32, 1 << 20) as usize * 1024 * 1024;
         let span =
             |told: Micros, else_ms: u64| Duration::from_micros(if told > 0 { told } else { else_ms * 1000 });
-        let longest = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
+        let longest = settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
         let client_connections = sockets * 2 / 5;
-        let idle = span(settings.connection_idle, 15_000);
+        let idle = span(settings.connection_idle_timeout, 15_000);
         let connect = span(settings.connect_timeout, 250);
         let link_answer = Duration::from_millis(200);
         Limits {
@@ -150,7 +150,7 @@
             write_check: Duration::from_millis(50),
             // A connection for it may have to be opened first; its answer is a link's word like any other.
             probe: (connect + link_answer).as_micros() as Micros,
-            order: if settings.order_timeout > 0 { settings.order_timeout } else { 10_000_000 },
+            order: if settings.command_timeout > 0 { settings.command_timeout } else { 10_000_000 },
             board_silence: Duration::from_millis(2_500), // what a silent board has to tell counts 4 s on
             board_check: Duration::from_millis(50),
             board_retry: Duration::from_millis(100),
@@ -177,8 +177,9 @@
 /// connection carries one call at a time, and is quiet whenever that takes long.
 fn word_after(settings: &Settings) -> Duration {
     let usual = Duration::from_millis(200);
-    let late = settings.classes.iter().map(|c| 2 * c.aim).max().map_or(usual, Duration::from_micros);
-    if settings.probe_price > 0.01 {
+    let late =
+        settings.classes.iter().map(|c| 2 * c.latency_target).max().map_or(usual, Duration::from_micros);
+    if settings.probe_cost > 0.01 {
         late.max(usual)
     } else {
         usual
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -123,11 +123,11 @@
     Some(match code {
         200 => Outcome::Ok,
         202 => Outcome::Miss,
-        203 => Outcome::Full,
+        203 => Outcome::Rejected,
         204 => Outcome::Error,
-        205 => Outcome::Moot,
+        205 => Outcome::NotSent,
         TAKES_WORK => Outcome::Ok,
-        TAKES_NO_WORK => Outcome::Full,
+        TAKES_NO_WORK => Outcome::Rejected,
         _ => return None,
     })
 }
@@ -710,7 +710,7 @@
         let (state, reports) = (&self.state, &self.reports);
         self.waiting.retain(|command| match command {
             Command::Open { what, begin, .. } if begin.is_over(retired, now) => {
-                report(reports, state, *what, Outcome::Moot);
+                report(reports, state, *what, Outcome::NotSent);
                 false
             }
             _ => true,
@@ -727,7 +727,7 @@
         }
         for id in withheld.ids {
             if let Some(exchange) = table.open.remove(&id) {
-                report(&self.reports, &self.state, exchange.what, Outcome::Moot);
+                report(&self.reports, &self.state, exchange.what, Outcome::NotSent);
             }
         }
     }
@@ -789,7 +789,7 @@
     ) -> Result<bool, String> {
         let now = Instant::now();
         let Some((frame, most)) = opening.frame(now) else {
-            report(&self.reports, &self.state, what, Outcome::Moot);
+            report(&self.reports, &self.state, what, Outcome::NotSent);
             return Ok(false);
         };
         if !self.fits(&frame)? {
@@ -799,7 +799,7 @@
         if table.broken || table.knows(id) {
             // Two exchanges under one id could not be told apart: the later one is not sent. That is no fault of the
             // worker's.
-            let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::Moot };
+            let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::NotSent };
             drop(table);
             report(&self.reports, &self.state, what, outcome);
             return Ok(false);
@@ -879,7 +879,7 @@
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full);
+                let told = matches!(outcome, Outcome::Ok | Outcome::Rejected);
                 let crowd = if told { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -7,7 +7,7 @@
 use crate::net::{spawn, timed_out};
 use crate::ring::Ring;
 use base64::{engine::general_purpose::STANDARD, Engine};
-use heronslip_policy::json::{as_text, list, object, parse, part, text, whole};
+use heronslip_policy::json::{array, as_object, as_str, object, parse, string, unsigned};
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use may::net::TcpStream;
 use may::sync::mpmc::{channel, Receiver, Sender};
@@ -65,9 +65,9 @@
 
 /// The bytes of the first output tensor of a v2 answer.
 pub fn unwrap_answer(answer: &Object) -> Option<Vec<u8>> {
-    let output = list(answer, "outputs").first().and_then(object)?;
-    let data = list(output, "data").first().and_then(as_text)?;
-    let coded = part(output, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+    let output = array(answer, "outputs").first().and_then(as_object)?;
+    let data = array(output, "data").first().and_then(as_str)?;
+    let coded = object(output, "parameters").and_then(|p| string(p, "content_type")) == Some("base64");
     if coded {
         STANDARD.decode(data).ok()
     } else {
@@ -284,7 +284,7 @@
     /// Sends the request and reads the whole answer, or tells how far it came.
     fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
         if self.withheld(job) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let mut stream = match self.stream.take() {
             Some((stream, used)) if used.elapsed() < self.limits.worker_idle && still_open(&stream) => stream,
@@ -295,7 +295,7 @@
         };
         if self.withheld(job) {
             self.stream = Some((stream, Instant::now()));
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         self.write(&mut stream, job)?;
         let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
@@ -332,7 +332,7 @@
                 Err(e) if timed_out(&e) && stalled < self.limits.write_stall => {
                     stalled += self.limits.write_check;
                     if self.withheld(job) && ring.len() == job.bytes.len() {
-                        return Err(Outcome::Moot);
+                        return Err(Outcome::NotSent);
                     }
                 }
                 // Not wholly written: nothing can have run.
@@ -429,21 +429,22 @@
     match status {
         200 => Outcome::Ok,
         404 => Outcome::Miss,
-        429 | 503 => Outcome::Full,
+        429 | 503 => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
 fn attempt_report(reply: Reply, foreign: bool) -> Report {
     let whole = fields(&reply.body);
-    let answer = whole.as_ref().and_then(object);
-    let told = answer.and_then(|a| part(a, "parameters"));
-    let warm = match told.and_then(|t| text(t, "detail")) {
+    let answer = whole.as_ref().and_then(as_object);
+    let told = answer.and_then(|a| object(a, "parameters"));
+    let warm = match told.and_then(|t| string(t, "detail")) {
         Some("resident") => Some(true),
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = told.and_then(|t| heronslip_policy::json::whole(t, "company")).map(|n| n.min(1 << 16) as u32);
+    let crowd =
+        told.and_then(|t| heronslip_policy::json::unsigned(t, "company")).map(|n| n.min(1 << 16) as u32);
     let mut outcome = outcome(reply.status);
     let payload = match outcome {
         Outcome::Ok if foreign => answer.and_then(unwrap_answer).map(Payload::Bytes),
@@ -458,10 +459,12 @@
 
 fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
     let (outcome, whole_body) = (outcome(reply.status), fields(&reply.body));
-    let copies_told = |o: &Object| whole(o, "slots_up").map(|n| n.min(1 << 16) as u32);
+    let copies_told = |o: &Object| unsigned(o, "slots_up").map(|n| n.min(1 << 16) as u32);
     if copies > 0 {
-        let told =
-            whole_body.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(copies_told));
+        let told = whole_body
+            .as_ref()
+            .and_then(as_object)
+            .and_then(|o| object(o, "parameters").and_then(copies_told));
         let stand = if outcome == Outcome::Ok { told.unwrap_or(copies) } else { told.unwrap_or(0) };
         return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, stand);
     }
@@ -469,11 +472,11 @@
     let Some(Value::Array(models)) = &whole_body else {
         return (if outcome == Outcome::Ok { Outcome::Error } else { outcome }, 0);
     };
-    let ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
+    let ready = |m: &&Object| string(m, "name") == Some(&name) && string(m, "state") == Some("READY");
     let stand = models
         .iter()
-        .filter_map(object)
+        .filter_map(as_object)
         .filter(ready)
-        .map(|m| part(m, "parameters").and_then(copies_told).unwrap_or(1));
+        .map(|m| object(m, "parameters").and_then(copies_told).unwrap_or(1));
     (outcome, stand.sum())
 }
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -4,7 +4,7 @@
 use heronslip::messages::Speech;
 use heronslip::ring::Ring;
 use heronslip::worker::frames::Decoder;
-use heronslip_policy::json::{object, parse};
+use heronslip_policy::json::{as_object, parse};
 use heronslip_policy::WorkerState;
 use rstest::rstest;
 
@@ -85,7 +85,7 @@
         "metadata":{{"filter_metadata":{{"heronslip":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let members = endpoints(object(&json).expect("an object")).expect("sound");
+    let members = endpoints(as_object(&json).expect("an object")).expect("sound");
     let m = &members[0];
     assert_eq!((m.state, m.speech, &m.id[..], &m.zone[..], m.cell), (state, Speech::Kserve, "w1", "east", 3));
 }
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -26,7 +26,7 @@
 pub mod stand_ins;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use heronslip_policy::json::{list, object, parse, part, text};
+use heronslip_policy::json::{array, as_object, object, parse, string};
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -306,10 +306,10 @@
         loop {
             let told = get(self.admin, "/v1/state");
             let json = parse(told.split_once("\r\n\r\n").expect("a body").1).expect("JSON");
-            let named = |e: &&miniserde::json::Object| text(e, "name") == Some(worker);
-            let shown = list(object(&json).expect("an object"), "endpoints");
-            let found = shown.iter().filter_map(object).find(named);
-            if found.map_or(Some("absent"), |e| text(e, "state")) == Some(state) {
+            let named = |e: &&miniserde::json::Object| string(e, "name") == Some(worker);
+            let shown = array(as_object(&json).expect("an object"), "endpoints");
+            let found = shown.iter().filter_map(as_object).find(named);
+            if found.map_or(Some("absent"), |e| string(e, "state")) == Some(state) {
                 return;
             }
             assert!(since.elapsed() < PATIENCE, "{context}: {told}");
@@ -443,13 +443,13 @@
 fn content(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
     let Ok(json) = parse(&plain) else { return plain };
-    let Some(fields) = object(&json) else { return plain };
+    let Some(fields) = as_object(&json) else { return plain };
     let tensors =
-        if fields.contains_key("inputs") { list(fields, "inputs") } else { list(fields, "outputs") };
-    let Some(tensor) = tensors.first().and_then(object) else { return plain };
+        if fields.contains_key("inputs") { array(fields, "inputs") } else { array(fields, "outputs") };
+    let Some(tensor) = tensors.first().and_then(as_object) else { return plain };
     let data =
-        list(tensor, "data").first().and_then(heronslip_policy::json::as_text).expect("data").to_owned();
-    let coded = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+        array(tensor, "data").first().and_then(heronslip_policy::json::as_str).expect("data").to_owned();
+    let coded = object(tensor, "parameters").and_then(|p| string(p, "content_type")) == Some("base64");
     if coded {
         String::from_utf8(STANDARD.decode(data).expect("base64")).expect("text")
     } else {
@@ -806,8 +806,8 @@
         } else {
             assert_eq!(target, format!("/v2/models/{FUNCTION}/infer"));
             let json = parse(&String::from_utf8_lossy(&body)).expect("JSON");
-            let told = part(object(&json).expect("an object"), "parameters").expect("parameters");
-            let word = |name: &str| text(told, name).unwrap_or("-").to_owned();
+            let told = object(as_object(&json).expect("an object"), "parameters").expect("parameters");
+            let word = |name: &str| string(told, name).unwrap_or("-").to_owned();
             let (class, key, body) = (word("class"), word("token"), content(&body));
             let stream = stream.try_clone().expect("cloned");
             let _ = seen.send(Call {
--- a/heronslip/tests/limits.rs
+++ b/heronslip/tests/limits.rs
@@ -25,17 +25,18 @@
 /// A word of a quiet connection is priced like a probe: where that is dear, no usual call may cause one.
 #[test]
 fn words_that_cost_much_wait_until_calls_are_late() {
-    let class = |aim| heronslip_policy::ClassSettings { aim, ..Default::default() };
-    let set = |probe_price| {
+    let class = |aim| heronslip_policy::ClassSettings { latency_target: aim, ..Default::default() };
+    let set = |probe_cost| {
         let classes = vec![class(550_000), class(410_000)];
-        Limits::new(192, 1024, &Settings { probe_price, classes, ..Settings::default() }).link_quiet
+        Limits::new(192, 1024, &Settings { probe_cost, classes, ..Settings::default() }).link_quiet
     };
     assert_eq!(set(0.01), Duration::from_millis(200));
     assert!(set(0.08) > Duration::from_millis(550), "{:?}", set(0.08));
 }
 
 fn classes(give_up: &[u64]) -> Limits {
-    let class = |&give_up: &u64| heronslip_policy::ClassSettings { give_up, ..Default::default() };
+    let class =
+        |&give_up: &u64| heronslip_policy::ClassSettings { client_timeout: give_up, ..Default::default() };
     let classes = give_up.iter().map(class).collect();
     Limits::new(192, 1024, &Settings { classes, ..Settings::default() })
 }
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -32,7 +32,7 @@
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::Moot),
+        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::NotSent),
         _ => panic!("the order did not end"),
     }
     drop((transport, fillers)); // closes every connection from this side
@@ -218,7 +218,7 @@
     }
     transport.send(second, &request(9), 1_000_000, None);
     reply(&mut stream, 200, 9, ""); // the answer to the first crosses
-    assert_eq!(ended(&reports), (second, Outcome::Moot));
+    assert_eq!(ended(&reports), (second, Outcome::NotSent));
 }
 
 /// Turned away unseen, a call may come back to the same worker, on the same connection, under its id.
@@ -229,7 +229,7 @@
     let limits = Limits::new(192, 1024, &Settings::default());
     let mut transport = frames(listener.local_addr().expect("bound"), limits, queue);
     let mut stream = None;
-    for (attempt, (code, outcome)) in [(203, Outcome::Full), (200, Outcome::Ok)].into_iter().enumerate() {
+    for (attempt, (code, outcome)) in [(203, Outcome::Rejected), (200, Outcome::Ok)].into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
         transport.send(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
--- a/scale/src/bounds.rs
+++ b/scale/src/bounds.rs
@@ -43,7 +43,7 @@
 /// Memory that a module of this experiment takes, in bytes, worked out from measured slopes.
 pub fn module_bytes(experiment: &Experiment, settings: &Settings) -> f64 {
     let catalogue = Catalogue::new(experiment);
-    let span = REMEMBERED * settings.keep as f64 / 1e6;
+    let span = REMEMBERED * settings.keep_alive as f64 / 1e6;
     let calls = experiment.calls.per_front_end_s * span;
     let live: f64 = (0..catalogue.functions.len()).map(|r| 1.0 - (-calls * catalogue.share(r)).exp()).sum();
     let workers = f64::from(experiment.fleet.workers);
--- a/scale/src/fleet/calls.rs
+++ b/scale/src/fleet/calls.rs
@@ -127,7 +127,7 @@
 impl CallBook {
     /// Counts calls asked at `from` or later; `start` is the run's first moment.
     pub fn new(settings: &Settings, start: Micros, from: Micros) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim).collect();
+        let aims = settings.classes.iter().map(|c| c.latency_target).collect();
         CallBook { from, aims, start, ..CallBook::default() }
     }
 
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -121,7 +121,7 @@
             front_ends: (0..count).map(front_end).collect(),
             watches: vec![Watch::default(); count],
             world: World::new(experiment, &settings, catalogue),
-            list: List::new(experiment, settings.kind_memory_mb.len()),
+            list: List::new(experiment, settings.machine_memory_mb.len()),
             schedule: Schedule::new(experiment),
             book: CallBook::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
@@ -346,7 +346,7 @@
 
     /// Front ends connected to each worker: those that sent it something within the idle time of connections.
     fn count_connections(&mut self) {
-        let idle = self.settings.connection_idle;
+        let idle = self.settings.connection_idle_timeout;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
         let mut at = vec![0u32; self.experiment.fleet.workers as usize];
         for front_end in &self.front_ends {
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -4,7 +4,7 @@
 use crate::time::{milliseconds, SECOND};
 use crate::world::{worker_number, CallOut, Command, ListEvent, Reply};
 use heronslip_policy::{
-    Action, Controller, DiscoveryState, Entry, Event, Footprint, Micros, Outcome, Settings,
+    Action, Controller, DiscoveryState, Event, Footprint, Micros, Outcome, Settings, WorkerEntry,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -29,7 +29,7 @@
     /// The program's word on the board.
     Discovery(DiscoveryState),
     /// The board's whole list, as it stood at an event's number.
-    Whole(u64, Arc<Vec<Entry>>),
+    Whole(u64, Arc<Vec<WorkerEntry>>),
     /// A call that a client sends again, or that its own front end did not take.
     Again(Try),
     /// The next call of its own clients.
@@ -170,7 +170,7 @@
 impl Common {
     /// The position of a front end among those that the settings name, over which those that run are spread.
     fn index_of(&self, number: usize) -> u32 {
-        (number as u64 * u64::from(self.settings.gateways) / u64::from(self.front_ends.max(1))) as u32
+        (number as u64 * u64::from(self.settings.front_ends) / u64::from(self.front_ends.max(1))) as u32
     }
 }
 
@@ -203,7 +203,7 @@
     }
 
     /// Starts a new process that is told the whole list.
-    pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<Entry>>) {
+    pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<WorkerEntry>>) {
         self.controller = Some(Controller::new((*self.settings).clone(), self.random.random()));
         self.put(now, Incoming::Whole(number, list));
     }
@@ -311,11 +311,11 @@
             }
             Incoming::Discovery(state) => self.feed(Event::Discovery { state }),
             Incoming::List(event) => {
-                self.feed(Event::Members { full: false, entries: event.entries.clone() });
+                self.feed(Event::WorkerList { full: false, entries: event.entries.clone() });
                 self.done.known.push((event.number, self.now));
             }
             Incoming::Whole(number, entries) => {
-                self.feed(Event::Members { full: true, entries: (*entries).clone() });
+                self.feed(Event::WorkerList { full: true, entries: (*entries).clone() });
                 self.done.known.push((number, self.now));
             }
             Incoming::Timer(token) => self.feed(Event::Timer { token }),
@@ -339,7 +339,7 @@
         let id = self.last;
         let function = &self.catalogue.functions[call.rank];
         let (class, memory_mb, lanes) = (function.class, function.memory_mb, self.catalogue.lanes);
-        let told = self.settings.classes.get(class).map_or(0, |c| c.give_up);
+        let told = self.settings.classes.get(class).map_or(0, |c| c.client_timeout);
         let left = if told > 0 { told } else { DEFAULT_GIVE_UP };
         let (load_time, id_of, retry) = (function.load_time, function.id, call.before > 0);
         let open = Open {
@@ -357,7 +357,7 @@
             class,
             tenant: None,
             function: id_of,
-            left,
+            timeout: left,
             memory_mb,
             lanes,
             load_time,
@@ -380,8 +380,17 @@
         }
         let (id, attempt, closed) = (call.id, call.attempt, open.answered);
         let warm = (outcome == Outcome::Ok).then_some(warm);
-        let inflight = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Miss).then_some(held);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd: None, inflight });
+        let inflight = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Miss).then_some(held);
+        self.feed(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            function_inflight: None,
+            inflight,
+        });
         self.forget(id);
     }
 
@@ -393,8 +402,17 @@
         let (rank, closed) = (open.call.rank, open.answered);
         self.cancel(id, attempt, rank, worker);
         let outcome = Outcome::Timeout;
-        let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+        let (warm, function_inflight, inflight) = (None, None, None);
+        self.feed(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            function_inflight,
+            inflight,
+        });
         self.forget(id);
     }
 
@@ -443,8 +461,17 @@
                 self.cancel(id, attempt, rank, worker);
                 self.forget(id);
                 let outcome = Outcome::Cancelled;
-                let (warm, crowd, inflight) = (None, None, None);
-                return Some(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+                let (warm, function_inflight, inflight) = (None, None, None);
+                return Some(Event::Outcome {
+                    id,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    closed,
+                    warm,
+                    function_inflight,
+                    inflight,
+                });
             }
             Action::Refuse { id, retry_after } => self.refused(id, retry_after),
             Action::Fail { id } => {
@@ -456,7 +483,7 @@
                 }
             }
             Action::Load { worker, function, count } => self.order(&worker, function, count),
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 self.order_counts.unloads += 1;
                 let (worker, rank) = (worker_number(&worker)?, *self.ranks.get(&function)?);
                 self.connections.insert(worker, self.now);
@@ -464,7 +491,7 @@
             }
             Action::Probe { worker } => self.probe(worker),
             Action::Timer { delay, token } => self.put(self.now + delay, Incoming::Timer(token)),
-            Action::Watch | Action::Log { .. } => {}
+            Action::Subscribe | Action::Log { .. } => {}
         }
         None
     }
--- a/scale/src/node/board.rs
+++ b/scale/src/node/board.rs
@@ -1,7 +1,7 @@
 //! A hollow notice board: a numbered list told as server-sent events, whole or from a number on.
 use super::deploy::zone_name;
 use crate::world::{worker_number, List};
-use heronslip_policy::{Entry, WorkerState};
+use heronslip_policy::{WorkerEntry, WorkerState};
 use std::fmt::Write;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -116,12 +116,12 @@
 }
 
 impl Shared {
-    fn event(&self, number: u64, reset: bool, entries: &[Entry]) -> String {
+    fn event(&self, number: u64, reset: bool, entries: &[WorkerEntry]) -> String {
         let mut instances = String::new();
         for entry in entries {
             let address = worker_number(&entry.worker).and_then(|n| self.addresses.get(n));
             let Some(address) = address else { continue };
-            let kind = self.kinds.get(entry.kind).map_or("", String::as_str);
+            let kind = self.kinds.get(entry.machine_type).map_or("", String::as_str);
             let comma = if instances.is_empty() { "" } else { "," };
             let _ = write!(
                 instances,
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::Catalogue;
 use crate::fleet::calls::{CallRecord, End};
 use crate::time::{RealClock, SECOND};
-use heronslip_policy::{Effect, Micros, Settings};
+use heronslip_policy::{Micros, RetrySafety, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -166,7 +166,7 @@
         let id: u64 = self.random.random();
         let function = &self.catalogue.functions[rank];
         let class = self.settings.classes.get(function.class)?;
-        let wait = if class.give_up > 0 { class.give_up } else { DEFAULT_WAIT };
+        let wait = if class.client_timeout > 0 { class.client_timeout } else { DEFAULT_WAIT };
         let mut params = vec![
             ("SCRIPT_NAME", format!("/v1/{}", class.name)),
             ("HTTP_REQ_ID", format!("{id:016x}")),
@@ -182,7 +182,7 @@
                 ),
             ),
         ];
-        if class.effect == Effect::Keyed {
+        if class.retry_safety == RetrySafety::Deduplicated {
             params.push(("HTTP_REQ_TOKEN", format!("{id:032x}")));
         }
         let class = function.class;
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -128,8 +128,8 @@
     let world = World::new(experiment, &settings, catalogue.clone());
     let count = experiment.fleet.workers as usize;
     let workers = Workers::start(world, count, ranks).await.map_err(system("workers' listeners"))?;
-    let list = List::new(experiment, settings.kind_memory_mb.len());
-    let board = Board::start(list, workers.addresses.clone(), settings.kinds.clone());
+    let list = List::new(experiment, settings.machine_memory_mb.len());
+    let board = Board::start(list, workers.addresses.clone(), settings.machine_types.clone());
     let board = board.await.map_err(system("the board's listener"))?;
     let folder = Folder::new().map_err(system("a folder for configurations"))?;
     let known =
--- a/scale/src/node/workers.rs
+++ b/scale/src/node/workers.rs
@@ -228,8 +228,8 @@
     match outcome {
         Outcome::Ok => 200,
         Outcome::Miss => 202,
-        Outcome::Full => 203,
-        Outcome::Moot => 205,
+        Outcome::Rejected => 203,
+        Outcome::NotSent => 205,
         _ => 204,
     }
 }
--- a/scale/src/world/list.rs
+++ b/scale/src/world/list.rs
@@ -1,6 +1,6 @@
 //! The list of workers as the board keeps it: entries, numbered events, and how late each is told.
 use crate::experiment::Experiment;
-use heronslip_policy::{Entry, Micros, WorkerState};
+use heronslip_policy::{Micros, WorkerEntry, WorkerState};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     /// When it happened.
     pub at: Micros,
     /// The entries it changes.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<WorkerEntry>,
 }
 
 impl ListEvent {
@@ -27,7 +27,7 @@
     }
 }
 
-fn event_bytes(entries: &[Entry]) -> usize {
+fn event_bytes(entries: &[WorkerEntry]) -> usize {
     EVENT_BYTES + entries.iter().map(|e| ENTRY_BYTES + e.worker.len()).sum::<usize>()
 }
 
@@ -44,7 +44,7 @@
 /// The present list and the events that led to it.
 #[derive(Debug)]
 pub struct List {
-    entries: Vec<Entry>,
+    entries: Vec<WorkerEntry>,
     machines: Vec<u32>,
     history: VecDeque<Arc<ListEvent>>,
     most_history: usize,
@@ -55,12 +55,12 @@
     /// All workers ready, as event 1.
     pub fn new(experiment: &Experiment, kinds: usize) -> Self {
         let zones = experiment.fleet.zones as usize;
-        let entry = |n: usize| Entry {
+        let entry = |n: usize| WorkerEntry {
             worker: name(n, 0),
             state: WorkerState::Ready,
             started_at: 0,
             zone: n % zones,
-            kind: n % kinds.max(1),
+            machine_type: n % kinds.max(1),
             cell: (n % zones) as u64,
         };
         let workers = experiment.fleet.workers as usize;
@@ -74,7 +74,7 @@
     }
 
     /// Every entry that is not gone.
-    pub fn whole(&self) -> Vec<Entry> {
+    pub fn whole(&self) -> Vec<WorkerEntry> {
         self.entries.iter().filter(|e| e.state != WorkerState::Gone).cloned().collect()
     }
 
@@ -120,18 +120,18 @@
     pub fn replaced(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
         let mut changed = Vec::with_capacity(2 * workers.len());
         for &w in workers {
-            changed.push(Entry { state: WorkerState::Gone, ..self.entries[w].clone() });
+            changed.push(WorkerEntry { state: WorkerState::Gone, ..self.entries[w].clone() });
             self.machines[w] += 1;
             let worker = name(w, self.machines[w]);
             let fresh =
-                Entry { worker, started_at: now, state: WorkerState::Ready, ..self.entries[w].clone() };
+                WorkerEntry { worker, started_at: now, state: WorkerState::Ready, ..self.entries[w].clone() };
             self.entries[w] = fresh.clone();
             changed.push(fresh);
         }
         self.push(now, changed)
     }
 
-    fn push(&mut self, at: Micros, entries: Vec<Entry>) -> Arc<ListEvent> {
+    fn push(&mut self, at: Micros, entries: Vec<WorkerEntry>) -> Arc<ListEvent> {
         self.last += 1;
         let event = Arc::new(ListEvent { number: self.last, at, entries });
         self.history.push_back(event.clone());
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -187,12 +187,12 @@
 impl World {
     /// Empty workers that have just become ready. Memory follows the settings' kinds in turn.
     pub fn new(experiment: &Experiment, settings: &Settings, catalogue: Arc<Catalogue>) -> Self {
-        let kinds = &settings.kind_memory_mb;
+        let kinds = &settings.machine_memory_mb;
         let memory = |n: usize| kinds.get(n % kinds.len().max(1)).copied().unwrap_or(f64::INFINITY);
         let workers = (0..experiment.fleet.workers as usize).map(|n| Worker::new(memory(n))).collect();
         let shape = &experiment.workers;
         let absent = f64::from(experiment.fleet.told() - experiment.fleet.front_ends);
-        let others = Others::new(absent * experiment.calls.per_front_end_s, settings.keep);
+        let others = Others::new(absent * experiment.calls.per_front_end_s, settings.keep_alive);
         let others_held = others.held(&catalogue, experiment.fleet.workers as usize);
         World {
             others_held,
@@ -204,8 +204,8 @@
             loads_at_once: shape.loads_at_once,
             most_held: shape.most_held,
             fetch_share: experiment.store.fetch_share,
-            keep: settings.keep,
-            loads_on_absence: settings.load_on_absence,
+            keep: settings.keep_alive,
+            loads_on_absence: settings.load_on_miss,
             due: BinaryHeap::new(),
             sequence: 0,
             replies: Vec::new(),
@@ -348,7 +348,7 @@
 
     fn call(&mut self, now: Micros, worker: usize, call: CallOut) {
         if self.workers[worker].held >= self.most_held {
-            return self.end(now, worker, call, Outcome::Full);
+            return self.end(now, worker, call, Outcome::Rejected);
         }
         let (lanes, rank, loads_on_absence) = (self.catalogue.lanes, call.rank, self.loads_on_absence);
         let copies = self.copies(now, worker, rank);
@@ -369,7 +369,7 @@
             // No room and nothing to wait for: it is turned away.
             if let Some((call, _)) = self.copies(now, worker, rank).waiting.pop_back() {
                 self.workers[worker].held -= 1;
-                self.end(now, worker, call, Outcome::Full);
+                self.end(now, worker, call, Outcome::Rejected);
             }
         }
     }
@@ -517,7 +517,7 @@
         let coming = self.copies(now, worker, rank).loading;
         for _ in (stand + coming)..wanted {
             if !self.load(now, worker, rank) {
-                return self.held(now, worker, front_end, order, Outcome::Full, stand);
+                return self.held(now, worker, front_end, order, Outcome::Rejected, stand);
             }
         }
         self.copies(now, worker, rank).orders.push((front_end, order, wanted));
--- a/src/control.rs
+++ b/src/control.rs
@@ -23,30 +23,34 @@
 /// Longest request life kept: absurd figures cannot overflow the clock.
 pub(crate) const LONGEST: Micros = 3_600 * SEC;
 pub(crate) const DEFAULT_SPAN: Micros = SEC; // keep-alive, load time and aim where none is told
-const STOOD_STILL: Micros = 2 * SURVEY; // no event for longer, timers included: this gateway stood still
+const STOOD_STILL: Micros = 2 * SURVEY; // no event for longer, timers included: this front end stood still
 const RETRY_SHARE: f64 = 0.15; // further attempts earned by a request: bounds what they add to overload
 
 impl Controller {
-    /// A gateway that knows nothing yet; `seed` starts its random numbers.
+    /// A front end that knows nothing yet; `seed` starts its random numbers.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         // An unknown class is taken for an unsafe one without an aim or worth; absurd figures are clamped.
         settings.classes.push(ClassSettings::default());
         for c in &mut settings.classes {
-            c.aim = if c.aim > 0 { c.aim.min(LONGEST) } else { LONGEST };
-            c.window = c.window.min(LONGEST);
+            c.latency_target = if c.latency_target > 0 { c.latency_target.min(LONGEST) } else { LONGEST };
+            c.dedup_window = c.dedup_window.min(LONGEST);
         }
         settings.max_attempts = settings.max_attempts.wrapping_sub(1).saturating_add(1); // 0: no limit
-        let spans = [&mut settings.load_window, &mut settings.fall_window, &mut settings.keep];
+        let spans = [&mut settings.load_window, &mut settings.overload_window, &mut settings.keep_alive];
         spans.into_iter().for_each(|s| *s = (*s).min(LONGEST));
         Controller {
             rng: Some(Pcg32::seed_from_u64(seed)),
-            class_service: settings.classes.iter().map(|c| c.aim.min(DEFAULT_SPAN) as f64 / 4.0).collect(),
+            class_service: settings
+                .classes
+                .iter()
+                .map(|c| c.latency_target.min(DEFAULT_SPAN) as f64 / 4.0)
+                .collect(),
             tenant_rate: vec![0.0; settings.tenants.len()],
             mean_held: CROWD,
             load_cap: LOAD_CAP.1 / 2.0,
             trial_gap: TRIALS.0,
             retries: 5.0,
-            questions: if settings.probe_price > SPENT.1 { 0.0 } else { QUESTIONS.1 },
+            questions: if settings.probe_cost > SPENT.1 { 0.0 } else { QUESTIONS.1 },
             holds: HOLDS,
             set: settings,
             ..Controller::default()
@@ -58,7 +62,7 @@
         if self.ticks == 0 {
             self.ticks = 1;
             out.push(Action::Timer { delay: TICK, token: 0 });
-            out.extend(self.set.ask_for_list.then_some(Action::Watch));
+            out.extend(self.set.must_subscribe.then_some(Action::Subscribe));
         }
         let now = now.min(u64::MAX / 4);
         if now > self.last_event + STOOD_STILL {
@@ -67,7 +71,7 @@
         }
         self.last_event = now;
         match event {
-            Event::Members { full, entries } => self.members(now, full, entries, out),
+            Event::WorkerList { full, entries } => self.members(now, full, entries, out),
             Event::Discovery { state } => self.discovery(now, state),
             Event::Probed { .. } => self.probed(now, event, out),
             Event::Request { id, .. } if self.requests.contains_key(&id) => {}
@@ -90,7 +94,9 @@
         }
     }
 
-    pub(crate) fn members(&mut self, now: Micros, full: bool, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    pub(crate) fn members(
+        &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, out: &mut Vec<Action>,
+    ) {
         let (started, emptied) = self.listed(now, full, entries, draw);
         for w in started {
             // A new process: past health says nothing, and it holds no copy.
@@ -105,7 +111,8 @@
     }
 
     pub(crate) fn request(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry } = event
+        let Event::Request { id, class, tenant, function, timeout, memory_mb, lanes, load_time, retry } =
+            event
         else {
             return;
         };
@@ -129,11 +136,11 @@
         }
         self.taken.push_back(now);
         self.retries = (self.retries + RETRY_SHARE).min(20.0);
-        let price = self.set.probe_price.max(0.0);
+        let price = self.set.probe_cost.max(0.0);
         let earned = if price > SPENT.1 { 0.0 } else { QUESTIONS.0 };
         self.questions = (self.questions + earned).min(QUESTIONS.1);
         self.holds = (self.holds + (SPENT.0 / price).min(HOLDS)).min(HOLDS);
-        let (left, ends) = (left.min(LONGEST), now + left.min(LONGEST).saturating_sub(END_MARGIN));
+        let (left, ends) = (timeout.min(LONGEST), now + timeout.min(LONGEST).saturating_sub(END_MARGIN));
         let tenant = tenant.filter(|&t| t < self.tenant_rate.len());
         tenant.into_iter().for_each(|t| self.tenant_rate[t] += 1.0);
         let (lost, done, errors, probing, attempts) = (false, false, 0, None, Vec::new());
@@ -174,13 +181,16 @@
     }
 
     pub(crate) fn outcome(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight } = event else {
+        let Event::Outcome { id, attempt, outcome, elapsed, closed, warm, function_inflight, inflight } =
+            event
+        else {
             return;
         };
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.open) else { return };
         a.open = false;
-        let never = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+        let never =
+            matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
         a.may_have_run = !never;
         r.errors += u32::from(outcome == Outcome::Error);
         let (w, f, a, pair) = (a.worker, r.function, a.clone(), (r.tenant, r.class));
@@ -202,14 +212,14 @@
                 Outcome::Miss => c.count = 0,
                 _ => {}
             }
-            if let Some(n) = crowd {
+            if let Some(n) = function_inflight {
                 c.others = (now, n.saturating_sub(a.ours_then.saturating_sub(1)));
             }
         }
         if let Some(sent) = proof {
             self.takes_work(w, sent);
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             self.workers[w].lease.refute(a.sent);
             self.turned_away(w, pair, now);
         }
--- a/src/health.rs
+++ b/src/health.rs
@@ -13,7 +13,7 @@
 /// An attempt out for this multiple of its expected time with nothing heard.
 pub(crate) const SILENT: f64 = 9.0;
 /// Trial calls and questions to a suspect keep this distance, and all suspects together get this part of our
-/// calls: where many gateways see a worker seldom, each would else lose calls to it for as long as it ails.
+/// calls: where many front ends see a worker seldom, each would else lose calls to it for as long as it ails.
 pub(crate) const TRIALS: (Micros, f64) = (SEC, 0.02);
 /// A worker that is full is left for this long, twice as long each time.
 pub(crate) const FULL_WAIT: Micros = SEC / 5;
@@ -129,7 +129,7 @@
     /// Asks a suspect that gave no answer about a function it last held: an answer brings it back.
     pub(crate) fn trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
         for &w in ready {
-            let may = self.set.orders && self.holds >= 1.0;
+            let may = self.set.may_command && self.holds >= 1.0;
             if !self.workers[w].in_doubt() || now < self.workers[w].next_trial || !may {
                 continue;
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,11 +1,11 @@
-//! The types through which a gateway and the decision module talk: settings, events and actions.
+//! The types through which a front end and the decision module talk: settings, events and actions.
 //!
-//! Times are microseconds on one clock of the gateway's choosing that only advances. Classes, tenants,
+//! Times are microseconds on one clock of the front end's choosing that only advances. Classes, tenants,
 //! zones and machine kinds are positions in the settings' lists, so no name reaches the decisions.
 
-/// A point on the gateway's clock, or a span of it, in microseconds.
+/// A point on the front end's clock, or a span of it, in microseconds.
 pub type Micros = u64;
-/// Identifier of a request, unique for the life of a gateway.
+/// Identifier of a request, unique for the life of a front end.
 pub type RequestId = u64;
 /// Identifier of a function.
 pub type FunctionId = u64;
@@ -14,11 +14,11 @@
 
 /// What repeating a call may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// May run any number of times.
     Safe,
     /// Carries a key by which a group of workers drops repeats for a while.
-    Keyed,
+    Deduplicated,
     /// Must never run twice.
     #[default]
     Unsafe,
@@ -26,7 +26,7 @@
 
 /// The workers that share their memory of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All workers.
     All,
     /// The workers of one zone.
@@ -42,15 +42,15 @@
     /// Its name on the wires.
     pub name: String,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// For keyed classes, who drops repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed classes, how long repeats are dropped.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// An answer within this span earns full worth; 0 if none is stated.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// How long clients wait, over all their tries; 0 if not stated.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// Worth of one request.
     pub worth: f64,
 }
@@ -60,15 +60,15 @@
 pub struct TenantSettings {
     /// Its name on the wires.
     pub name: String,
-    /// Requests a second over all gateways that count as within its share; 0 if none is stated.
+    /// Requests a second over all front ends that count as within its share; 0 if none is stated.
     pub quota_per_s: f64,
 }
 
-/// What a gateway is told at its start. A figure of 0 means that it was not stated.
+/// What a front end is told at its start. A figure of 0 means that it was not stated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Number of gateways that serve the same workers.
-    pub gateways: u32,
+    /// Number of front ends that serve the same workers.
+    pub front_ends: u32,
     /// Which of them this is, from 0.
     pub index: u32,
     /// Classes of requests.
@@ -78,55 +78,55 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the machine kinds.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
     pub over_share_worth: f64,
     /// Memory of each machine kind, in MB.
-    pub kind_memory_mb: Vec<f64>,
+    pub machine_memory_mb: Vec<f64>,
     /// How long an idle copy stays at the least.
-    pub keep: Micros,
+    pub keep_alive: Micros,
     /// Whether a worker that lacks the function loads it for a call (otherwise it answers with a miss).
-    pub load_on_absence: bool,
+    pub load_on_miss: bool,
     /// Whether holds and drops may be ordered.
-    pub orders: bool,
+    pub may_command: bool,
     /// When an unanswered order is reported as timed out.
-    pub order_timeout: Micros,
+    pub command_timeout: Micros,
     /// Window of the ration on loads; 0: no ration.
     pub load_window: Micros,
     /// Loads allowed in a window whatever the traffic.
-    pub load_free: f64,
+    pub free_loads: f64,
     /// Further loads allowed for each request taken in the window.
-    pub load_share: f64,
+    pub loads_per_request: f64,
     /// Attempts allowed for a request; 0: not stated.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether a request may have two attempts out at once.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// Longest wait that clients can be advised of; 0: no advice is passed on.
     pub max_retry_after: Micros,
     /// What a probe or an order costs, in shares of the result for one a request; 0: nothing.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// A connection not established within this span counts as failed.
     pub connect_timeout: Micros,
     /// Workers close connections idle for this long.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// Attempts that one connection to a worker carries together; 0: not stated.
     pub streams_per_connection: u32,
     /// Share of its capacity with which a worker starts at the least.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// Time after which a started worker is warm at the latest.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// A cold worker that is sent more than this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Whether the list of workers must be subscribed to.
-    pub ask_for_list: bool,
-    /// Sends to a worker must cease this long after the gateway was told that it drains or is gone.
+    pub must_subscribe: bool,
+    /// Sends to a worker must cease this long after the front end was told that it drains or is gone.
     pub drain_grace: Micros,
     /// Whether workers may be probed.
-    pub probes: bool,
+    pub may_probe: bool,
 }
 
 /// State of a listed worker.
@@ -142,7 +142,7 @@
 
 /// One entry of the list of workers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct WorkerEntry {
     /// Which worker.
     pub worker: WorkerId,
     /// Its state.
@@ -152,7 +152,7 @@
     /// Its zone's position in the settings.
     pub zone: usize,
     /// Its machine kind's position in the settings.
-    pub kind: usize,
+    pub machine_type: usize,
     /// Its cell.
     pub cell: u64,
 }
@@ -174,7 +174,7 @@
     /// Answered with an error; a call may have run.
     Error,
     /// Turned away unseen, or no room, or the worker takes no work.
-    Full,
+    Rejected,
     /// No answer in time; a call may have run.
     Timeout,
     /// No connection; nothing ran.
@@ -184,20 +184,20 @@
     /// Cancelled; a call may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The function is not loaded there; nothing ran.
     Miss,
 }
 
-/// What happens to a gateway.
+/// What happens to a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of workers; `full` lists replace what was known.
-    Members {
+    WorkerList {
         /// Whether this is the whole list.
         full: bool,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<WorkerEntry>,
     },
     /// Discovery was lost or is current again. Where this never comes, the list counts as current.
     Discovery {
@@ -215,7 +215,7 @@
         /// The function it calls.
         function: FunctionId,
         /// Time until the client gives up.
-        left: Micros,
+        timeout: Micros,
         /// Memory of one copy, in MB; 0 if not told.
         memory_mb: f64,
         /// Calls that one copy runs at a time; 0 if not told.
@@ -240,7 +240,7 @@
         /// Whether a copy stood loaded when the call came, where this is told.
         warm: Option<bool>,
         /// Requests of the same function that the worker held, where this is told.
-        crowd: Option<u32>,
+        function_inflight: Option<u32>,
         /// Requests that the worker reported to hold, if it did.
         inflight: Option<f64>,
     },
@@ -278,7 +278,7 @@
     },
 }
 
-/// What a gateway is to do, in the order given.
+/// What a front end is to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -326,7 +326,7 @@
         count: u32,
     },
     /// Have a worker unload the idle copies of a function.
-    Drop {
+    Unload {
         /// The worker.
         worker: WorkerId,
         /// The function.
@@ -338,7 +338,7 @@
         worker: WorkerId,
     },
     /// Subscribe to the list of workers.
-    Watch,
+    Subscribe,
     /// A line for the operators' log.
     Log {
         /// The text.
--- a/src/json.rs
+++ b/src/json.rs
@@ -9,7 +9,7 @@
 }
 
 /// The fields of a value that is an object.
-pub fn object(value: &Value) -> Option<&Object> {
+pub fn as_object(value: &Value) -> Option<&Object> {
     match value {
         Value::Object(fields) => Some(fields),
         _ => None,
@@ -17,12 +17,12 @@
 }
 
 /// The object under a key.
-pub fn part<'a>(fields: &'a Object, key: &str) -> Option<&'a Object> {
-    fields.get(key).and_then(object)
+pub fn object<'a>(fields: &'a Object, key: &str) -> Option<&'a Object> {
+    fields.get(key).and_then(as_object)
 }
 
 /// The array under a key; empty where there is none.
-pub fn list<'a>(fields: &'a Object, key: &str) -> &'a [Value] {
+pub fn array<'a>(fields: &'a Object, key: &str) -> &'a [Value] {
     match fields.get(key) {
         Some(Value::Array(items)) => items,
         _ => &[],
@@ -30,7 +30,7 @@
 }
 
 /// The text of a value that is one.
-pub fn as_text(value: &Value) -> Option<&str> {
+pub fn as_str(value: &Value) -> Option<&str> {
     match value {
         Value::String(text) => Some(text),
         _ => None,
@@ -38,8 +38,8 @@
 }
 
 /// The text under a key.
-pub fn text<'a>(fields: &'a Object, key: &str) -> Option<&'a str> {
-    fields.get(key).and_then(as_text)
+pub fn string<'a>(fields: &'a Object, key: &str) -> Option<&'a str> {
+    fields.get(key).and_then(as_str)
 }
 
 /// The figure of a value that is a number.
@@ -58,7 +58,7 @@
 }
 
 /// The whole number, 0 or more, under a key.
-pub fn whole(fields: &Object, key: &str) -> Option<u64> {
+pub fn unsigned(fields: &Object, key: &str) -> Option<u64> {
     match fields.get(key) {
         Some(Value::Number(Number::U64(n))) => Some(*n),
         _ => None,
@@ -66,12 +66,12 @@
 }
 
 /// The mark under a key; absent is false.
-pub fn flag(fields: &Object, key: &str) -> bool {
+pub fn boolean(fields: &Object, key: &str) -> bool {
     matches!(fields.get(key), Some(Value::Bool(true)))
 }
 
 /// Milliseconds under a key as microseconds; what is negative or no number counts as 0 (`as` saturates).
-pub fn span(fields: &Object, key: &str) -> Micros {
+pub fn millis(fields: &Object, key: &str) -> Micros {
     (number(fields, key).unwrap_or(0.0) * 1000.0).round() as Micros
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// Position of a name in a list; the list's length where it is not found.
-pub fn position(names: &[String], name: Option<&str>) -> usize {
+pub fn index_of(names: &[String], name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
     names.iter().position(|n| n == name).unwrap_or(names.len())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,34 +1,34 @@
-//! heronslip-policy decides, for one gateway, which worker runs a call of a function that is loaded on demand,
+//! heronslip-policy decides, for one front end, which worker runs a call of a function that is loaded on demand,
 //! where copies are loaded and dropped, and what is retried, refused or failed.
 //!
-//! The gateway owns sockets and clock. It feeds [`Event`]s to a [`Controller`] and carries out the
+//! The front end owns sockets and clock. It feeds [`Event`]s to a [`Controller`] and carries out the
 //! [`Action`]s that come back, in order.
 //!
 //! ```
 //! use heronslip_policy::*;
 //!
 //! let settings = Settings {
-//!     gateways: 1,
+//!     front_ends: 1,
 //!     classes: vec![ClassSettings {
-//!         effect: Effect::Safe, aim: 1_000_000, worth: 1.0, ..ClassSettings::default()
+//!         retry_safety: RetrySafety::Safe, latency_target: 1_000_000, worth: 1.0, ..ClassSettings::default()
 //!     }],
-//!     tenants: vec![], over_share_worth: 1.0, kind_memory_mb: vec![8192.0], keep: 8_000_000,
-//!     load_on_absence: false, orders: true, order_timeout: 10_000_000,
-//!     load_window: 0, load_free: 0.0, load_share: 0.0, max_attempts: 3, may_cancel: true,
-//!     second_copies: false, max_retry_after: 0, cold_from: 0.3, warm_within: 10_000_000,
-//!     fall_multiple: 2.0, fall_window: 1_000_000, ..Settings::default()
+//!     tenants: vec![], over_share_worth: 1.0, machine_memory_mb: vec![8192.0], keep_alive: 8_000_000,
+//!     load_on_miss: false, may_command: true, command_timeout: 10_000_000,
+//!     load_window: 0, free_loads: 0.0, loads_per_request: 0.0, max_attempts: 3, may_cancel: true,
+//!     may_hedge: false, max_retry_after: 0, cold_capacity: 0.3, warm_up_time: 10_000_000,
+//!     overload_multiple: 2.0, overload_window: 1_000_000, ..Settings::default()
 //! };
 //! let mut controller = Controller::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let entry = Entry {
-//!     worker: "w1".into(), state: WorkerState::Ready, started_at: 0, zone: 0, kind: 0, cell: 0,
+//! let entry = WorkerEntry {
+//!     worker: "w1".into(), state: WorkerState::Ready, started_at: 0, zone: 0, machine_type: 0, cell: 0,
 //! };
-//! controller.handle(0, Event::Members { full: true, entries: vec![entry] }, &mut actions);
+//! controller.handle(0, Event::WorkerList { full: true, entries: vec![entry] }, &mut actions);
 //! controller.handle(1_000, Event::Request {
-//!     id: 1, class: 0, tenant: None, function: 42, left: 3_000_000,
+//!     id: 1, class: 0, tenant: None, function: 42, timeout: 3_000_000,
 //!     memory_mb: 300.0, lanes: 1, load_time: 0, retry: false,
 //! }, &mut actions);
-//! // A fresh gateway knows no warm copy: it asks the worker first.
+//! // A fresh front end knows no warm copy: it asks the worker first.
 //! assert!(actions.contains(&Action::Load { worker: "w1".into(), function: 42, count: 0 }));
 //! actions.clear();
 //! controller.handle(3_000, Event::Loaded {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -6,11 +6,11 @@
 use crate::state::*;
 use crate::survey::REPORT_FADE;
 
-/// Crowded: this multiple of the mean held, and this many more. Few gateways see most of what a worker holds
+/// Crowded: this multiple of the mean held, and this many more. Few front ends see most of what a worker holds
 /// themselves: there a tight bound made losses, and so loads, of ordinary unevenness.
 const CROWDED: (f64, f64) = (1.25, 0.75);
 const CROWDED_FEW: (f64, f64) = (2.0, 1.5);
-pub(crate) const FEW: u32 = 16; // gateways
+pub(crate) const FEW: u32 = 16; // front ends
 const HELD_PART: f64 = 0.45; // part of its life that a request waits with no attempt made
 /// The same for a function never served here: no worker may know it, and a word is owed within 3 s (terms).
 const HELD_UNPROVEN: Micros = 2_700 * MS;
@@ -33,14 +33,14 @@
         let worker = &self.workers[w];
         let broke =
             self.cold_share(w, now).is_some() && worker.budget < worker.draw * self.class_service[class];
-        let safe = self.set.classes[class].effect == Effect::Safe;
+        let safe = self.set.classes[class].retry_safety == RetrySafety::Safe;
         let trial = safe && !worker.dead && worker.out.is_empty() && now >= worker.next_trial;
         worker.ready() && !broke && !self.suspended(w, now) && (!self.suspect(w) || trial)
     }
 
     /// Guards against piling up on a worker that others fill or that is weak: it holds more than the mean.
     pub(crate) fn crowded(&self, w: usize, now: Micros) -> bool {
-        let few = (2..=FEW).contains(&self.set.gateways);
+        let few = (2..=FEW).contains(&self.set.front_ends);
         let bound = if few { CROWDED_FEW } else { CROWDED };
         self.held_at(w, now) * self.workers[w].health > self.mean_held * bound.0 + bound.1
     }
@@ -78,13 +78,14 @@
         let Some(first) = r.attempts.iter().find(|a| a.may_have_run) else { return true };
         let (c, a, b) =
             (&self.set.classes[r.class], &self.workers[first.worker].entry, &self.workers[w].entry);
-        let inside = match c.group {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.cell == b.cell,
+        let inside = match c.dedup_scope {
+            DedupScope::All => true,
+            DedupScope::Zone => a.zone == b.zone,
+            DedupScope::Cell => a.cell == b.cell,
         };
-        let keyed = c.effect == Effect::Keyed && inside && now + TICK < first.sent + c.window;
-        c.effect == Effect::Safe || keyed
+        let keyed =
+            c.retry_safety == RetrySafety::Deduplicated && inside && now + TICK < first.sent + c.dedup_window;
+        c.retry_safety == RetrySafety::Safe || keyed
     }
 
     /// Sends a request, or leaves it held until a copy is due, or ends it if nothing more can be done.
@@ -99,7 +100,7 @@
         if now >= r.ends
             || r.attempts.iter().filter(|a| !a.open && !a.may_have_run).count() >= TURNED_AWAY
             || r.attempts.len() as u32 >= self.set.max_attempts
-            || ran && self.set.classes[class].effect == Effect::Unsafe
+            || ran && self.set.classes[class].retry_safety == RetrySafety::Unsafe
             // Guards workers against calls that none of them can use: each answers them with an error.
             || r.errors >= UNPROVEN_ERRORS && !self.functions[f].proven
         {
@@ -115,11 +116,11 @@
             if !self.assured(now, id, w, out) {
                 return;
             }
-            // Exception, while several gateways share the workers: others' requests in flight take lanes too.
+            // Exception, while several front ends share the workers: others' requests in flight take lanes too.
             // If they are as many as ours of late, all lanes that we know of are taken: a loss we cannot see.
             let (service, lanes) = (self.functions[f].service, f64::from(self.functions[f].lanes));
             let known = self.functions[f].at.values().filter(|c| c.warm(now)).count() as f64;
-            if self.set.gateways > 1 && !(lost || retry) && self.fleet_calls(f, service) > known * lanes {
+            if self.set.front_ends > 1 && !(lost || retry) && self.fleet_calls(f, service) > known * lanes {
                 self.functions[f].last_lost = now;
                 self.add_copy(f, now, Some(id), out);
             }
@@ -159,7 +160,7 @@
         if waiting > pending * function.lanes.max(2) && !self.add_copy(f, now, Some(id), out) && pending == 0
         {
             // No order may be given (ration, cap or site): where calls load by themselves, this one does.
-            let may = self.set.load_on_absence && f64::from(self.loads_out) < self.load_cap;
+            let may = self.set.load_on_miss && f64::from(self.loads_out) < self.load_cap;
             if let Some(w) = may.then(|| self.target(f, now, Some(id))).flatten() {
                 if self.assured(now, id, w, out) {
                     self.send(now, id, w, out);
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -1,9 +1,9 @@
 //! Readiness leases: how long a worker may be taken for ready while discovery cannot tell otherwise.
 //!
 //! While discovery is current the list decides. Once it is lost, readiness is a lease for each worker on the
-//! gateway's clock. It runs from the latest moment at which the worker is known to have taken work: a call
+//! front end's clock. It runs from the latest moment at which the worker is known to have taken work: a call
 //! that it served and an order that it carried out prove it for the moment of their sending, a probe
-//! likewise. It lasts for the grace that the drain rule gives. A drain that the gateway cannot have heard of
+//! likewise. It lasts for the grace that the drain rule gives. A drain that the front end cannot have heard of
 //! began after that moment, so whatever is sent under the lease is sent within the grace. A worker whose
 //! lease has run out is probed before it gets anything new.
 use crate::interface::{Action, DiscoveryState, Event, Micros, Outcome, RequestId};
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Guards against news that waits unread while the gateway stood still: until discovery is heard again,
+    /// Guards against news that waits unread while the front end stood still: until discovery is heard again,
     /// the list is only as good as it was before.
     pub(crate) fn stood_still(&mut self, since: Micros) {
         if self.discovery.reported {
@@ -109,7 +109,7 @@
     }
 
     /// The same for those who carry out what was decided.
-    pub fn lease_of(&self, worker: &str) -> Option<Micros> {
+    pub fn worker_lease_end(&self, worker: &str) -> Option<Micros> {
         self.worker_ids.get(worker).and_then(|&w| self.lease_end(w))
     }
 
@@ -139,7 +139,7 @@
     /// Probes a worker, unless that is under way.
     pub(crate) fn probe(&mut self, w: usize, now: Micros, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
-        if self.set.probes && worker.lease.probed.is_none() {
+        if self.set.may_probe && worker.lease.probed.is_none() {
             worker.lease.probed = Some(now);
             out.push(Action::Probe { worker: worker.entry.worker.clone() });
         }
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -12,7 +12,7 @@
 /// Questions that each call earns at most, and how many can be saved up: a round for some tens of functions.
 pub(crate) const QUESTIONS: (f64, f64) = (0.5, 600.0);
 pub(crate) const HOLDS: f64 = 8.0; // holds that can be saved up, and that each call earns at most
-/// Share of a call's worth that its holds may cost, and the most that a question may: a hundred gateways ask
+/// Share of a call's worth that its holds may cost, and the most that a question may: a hundred front ends ask
 /// a hundred times. Where a question is dearer the call itself goes to the first of the common order.
 pub(crate) const SPENT: (f64, f64) = (0.01, 0.01);
 const KEEP_USED: f64 = 0.9; // share of the told keep-alive that a belief lasts: travel time, slack
@@ -30,35 +30,35 @@
 
 impl Controller {
     pub(crate) fn keep(&self) -> Micros {
-        let keep = if self.set.keep > 0 { self.set.keep } else { 5 * DEFAULT_SPAN };
+        let keep = if self.set.keep_alive > 0 { self.set.keep_alive } else { 5 * DEFAULT_SPAN };
         (keep as f64 * KEEP_USED) as Micros
     }
 
-    /// Calls of a function in a span by all gateways, if each makes as many as we.
+    /// Calls of a function in a span by all front ends, if each makes as many as we.
     pub(crate) fn fleet_calls(&self, f: usize, span: f64) -> f64 {
         let known = (self.functions[f].calls - 1.0).max(0.0) / SPANS.1 as f64;
-        known * span * f64::from(self.set.gateways.max(1))
+        known * span * f64::from(self.set.front_ends.max(1))
     }
 
-    /// Our part of the copies that all gateways need of a function: workers at the head of its order left to
-    /// others, and copies. Guards the first workers of a function that all gateways call.
+    /// Our part of the copies that all front ends need of a function: workers at the head of its order left to
+    /// others, and copies. Guards the first workers of a function that all front ends call.
     pub(crate) fn part(&self, f: usize) -> (usize, f64) {
         let all = COPIES_PER_CALL * self.fleet_calls(f, self.functions[f].service);
-        let gateways = self.set.gateways.max(1);
-        if gateways <= FEW || all <= APERTURE.0 {
+        let front_ends = self.set.front_ends.max(1);
+        if front_ends <= FEW || all <= APERTURE.0 {
             return (0, all);
         }
         let spread = (all as usize).next_power_of_two().min(self.workers.len()); // in steps: it wavers
-        let skipped = (self.set.index % gateways) as usize * spread / gateways as usize;
-        (skipped, all.min(ASKED as f64 + APERTURE.1 * all / f64::from(gateways)))
+        let skipped = (self.set.index % front_ends) as usize * spread / front_ends as usize;
+        (skipped, all.min(ASKED as f64 + APERTURE.1 * all / f64::from(front_ends)))
     }
 
-    /// How long a sign that a copy stands is believed: the keep-alive; longer while several gateways' calls
+    /// How long a sign that a copy stands is believed: the keep-alive; longer while several front ends' calls
     /// come several times to each copy within it and so restart its idle time.
     pub(crate) fn belief(&self, f: usize) -> Micros {
         let keep = self.keep() as f64;
         let copies = self.functions[f].at.values().filter(|c| c.count > 0).count().max(1) as f64;
-        let each = if self.set.gateways > 1 { self.fleet_calls(f, keep) / copies } else { 0.0 };
+        let each = if self.set.front_ends > 1 { self.fleet_calls(f, keep) / copies } else { 0.0 };
         (keep * (each / 4.0).clamp(1.0, BELIEVED)) as Micros
     }
 
@@ -78,10 +78,10 @@
 
     /// Guards against loading what others have loaded: asks for it. True while answers are awaited.
     pub(crate) fn ask(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
-        let most = if self.set.gateways > 1 { ASKED } else { usize::MAX };
+        let most = if self.set.front_ends > 1 { ASKED } else { usize::MAX };
         let order =
             if most == ASKED { self.nearest(f, self.part(f).0, draw) } else { self.by_preference(f, draw) };
-        let open = |&w: &usize| self.set.orders && self.workers[w].ready() && !self.suspect(w);
+        let open = |&w: &usize| self.set.may_command && self.workers[w].ready() && !self.suspect(w);
         let asked: Vec<usize> = order.into_iter().filter(open).take(most).collect();
         let mut awaited = false;
         for w in asked {
@@ -114,7 +114,7 @@
             self.ordered.pop_front();
         }
         let taken = self.taken.iter().rev().take_while(|&&t| t + window > now + END_MARGIN).count();
-        let allowed = self.set.load_free + self.set.load_share * taken as f64;
+        let allowed = self.set.free_loads + self.set.loads_per_request * taken as f64;
         (self.ordered.len() + 1) as f64 > if spare { allowed / 2.0 } else { allowed }
     }
 
@@ -126,12 +126,13 @@
         let cap = if ahead { self.load_cap / 2.0 } else { self.load_cap };
         let function = &self.functions[f];
         let pending = function.at.values().any(|c| c.holding() || c.cold_sends > 0);
-        // Exception, while several gateways share the workers: each answers the same losses, together they
+        // Exception, while several front ends share the workers: each answers the same losses, together they
         // would unload each other's copies. So calls in flight bound the copies that we know of.
         let known = self.counts(function, now).0 as f64;
-        let enough = self.set.gateways > 1 && known >= 1.0 + self.part(f).1.round();
+        let enough = self.set.front_ends > 1 && known >= 1.0 + self.part(f).1.round();
         let full = f64::from(self.loads_out) + 1.0 > cap || enough;
-        if !self.set.orders || full || (pending && function.held.is_empty()) || self.rationed(now, ahead) {
+        if !self.set.may_command || full || (pending && function.held.is_empty()) || self.rationed(now, ahead)
+        {
             return false;
         }
         let Some(w) = self.target(f, now, lost) else { return false };
@@ -164,9 +165,9 @@
                 && id.is_none_or(|id| self.allowed(id, w, now))
         };
         let idle = |c: &Copy| c.warm(now) && c.ours == 0;
-        // Exception, while several gateways share the workers: they draw alike, in an order that ids alone
+        // Exception, while several front ends share the workers: they draw alike, in an order that ids alone
         // decide, and take the first that has room or holds an idle copy of a function lost less recently.
-        if self.set.gateways > 1 {
+        if self.set.front_ends > 1 {
             let lost = self.functions[f].last_lost;
             let yields = |g: &Function, w: usize| g.last_lost < lost && g.at.get(&w).is_some_and(idle);
             let gives = |w: usize| self.workers[w].holds.iter().any(|&g| yields(&self.functions[g], w));
@@ -201,7 +202,8 @@
 
     /// Memory in MB that one more copy would leave at a worker, by our own account.
     pub(crate) fn room(&self, f: usize, w: usize, now: Micros) -> f64 {
-        let machine = self.set.kind_memory_mb.get(self.workers[w].entry.kind).copied().unwrap_or(0.0);
+        let machine =
+            self.set.machine_memory_mb.get(self.workers[w].entry.machine_type).copied().unwrap_or(0.0);
         let used = self.memory_used(w, now) + self.functions[f].memory;
         if machine > 0.0 {
             machine * MEMORY_FULL - used
@@ -225,7 +227,7 @@
                 room += function.memory * f64::from(c.count);
                 c.count = 0;
                 let worker = self.workers[w].entry.worker.clone();
-                out.push(Action::Drop { worker, function: function.id });
+                out.push(Action::Unload { worker, function: function.id });
             }
         }
     }
@@ -235,7 +237,7 @@
         let keep = self.keep();
         for f in 0..self.functions.len() {
             let function = &self.functions[f];
-            if now > function.last_call + (keep as f64 * RENEW_FOR) as Micros || !self.set.orders {
+            if now > function.last_call + (keep as f64 * RENEW_FOR) as Micros || !self.set.may_command {
                 continue;
             }
             let warm =
@@ -273,7 +275,7 @@
         // It came back without what it held: a new process that no list has told of yet.
         let emptied = stood && count == 0 && self.workers[w].in_doubt() && outcome == Outcome::Ok;
         match outcome {
-            Outcome::Ok | Outcome::Full | Outcome::Error if ready && !old => {
+            Outcome::Ok | Outcome::Rejected | Outcome::Error if ready && !old => {
                 c.count = count;
                 // A question does not restart the idle time: what it finds may be about to lapse.
                 let sure = if matches!(order, Order::Hold(_)) { until } else { now + keep / 2 };
@@ -294,7 +296,7 @@
         if matches!(order, Order::Hold(_)) && ready {
             match outcome {
                 Outcome::Ok => self.takes_work(w, since),
-                Outcome::Full => self.workers[w].lease.refute(since),
+                Outcome::Rejected => self.workers[w].lease.refute(since),
                 _ => {}
             }
         }
@@ -311,7 +313,7 @@
             } else if outcome == Outcome::Timeout || outcome == Outcome::Error && function.proven {
                 // Of a function never served here the error may lie with the call: the store is not accused.
                 self.load_cap /= 2.0;
-            } else if outcome == Outcome::Full {
+            } else if outcome == Outcome::Rejected {
                 self.workers[w].full_until = now + FULL_WAIT;
             }
             self.load_cap = self.load_cap.clamp(LOAD_CAP.0, LOAD_CAP.1);
@@ -320,7 +322,7 @@
     }
 }
 
-/// A place in an order of workers that looks random and is the same at every gateway.
+/// A place in an order of workers that looks random and is the same at every front end.
 pub(crate) fn draw(function: FunctionId, worker: &str) -> u64 {
     let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
     let h = worker.bytes().fold(function ^ 0xcbf2_9ce4_8422_2325, mix);
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -13,12 +13,12 @@
     /// forbidden (it is called off first, and placed again when that is confirmed).
     pub(crate) fn second_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
         let lossy = self.last_reset > 0 && now < self.last_reset + HEDGE.0;
-        let hedge = self.set.second_copies && lossy;
+        let hedge = self.set.may_hedge && lossy;
         let overdue = |(&id, r): (&RequestId, &Request)| {
             let a = r.attempts.last().filter(|a| a.open && !r.done && !a.called_off)?;
             let only = r.attempts.iter().filter(|a| a.open).count() == 1;
             let worker = &self.workers[a.worker];
-            let aim = self.set.classes[r.class].aim as f64;
+            let aim = self.set.classes[r.class].latency_target as f64;
             let patience = match () {
                 () if worker.dead || worker.slow => 1.5 * a.expected,
                 () if hedge => (HEDGE.1 * a.expected).max(HEDGE.2 * aim),
@@ -27,7 +27,8 @@
             let waited = now.saturating_sub(a.sent.max(self.woke)) as f64;
             let late = waited > patience.min(a.patience);
             let limit = (r.attempts.len() as u32) < self.set.max_attempts;
-            (only && late && limit && self.set.classes[r.class].effect != Effect::Unsafe).then_some(id)
+            (only && late && limit && self.set.classes[r.class].retry_safety != RetrySafety::Unsafe)
+                .then_some(id)
         };
         let ids: Vec<RequestId> = self.requests.iter().filter_map(overdue).collect();
         for id in ids {
@@ -42,7 +43,7 @@
                 self.probe(free[0], now, out);
                 continue;
             }
-            if self.set.second_copies {
+            if self.set.may_hedge {
                 let w = self.pick(&free).unwrap_or(free[0]);
                 self.send(now, id, w, out);
             } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.set.may_cancel) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: plain records, read and written by `control.rs` alone. Nothing is decided here.
+//! What a front end remembers: plain records, read and written by `control.rs` alone. Nothing is decided here.
 use crate::interface::*;
 use crate::readiness::{Discovery, Lease};
 use rand_pcg::rand_core::RngCore;
@@ -49,7 +49,7 @@
     pub(crate) held: VecDeque<RequestId>,
 }
 
-/// How high a worker stands in a function's order; the same at every gateway.
+/// How high a worker stands in a function's order; the same at every front end.
 pub(crate) type Draw = fn(FunctionId, &str) -> u64;
 
 /// Workers at the head of a function's order that are kept at least: ten times those asked for a copy, so that dead,
@@ -91,7 +91,7 @@
 
 /// A listed worker: our attempts out by age, its last report, and how it has done of late.
 pub(crate) struct Worker {
-    pub(crate) entry: Entry,
+    pub(crate) entry: WorkerEntry,
     pub(crate) out: BTreeSet<(Micros, RequestId, usize)>,
     pub(crate) holds: BTreeSet<usize>,
     pub(crate) report: Option<(Micros, f64, usize)>,
@@ -107,7 +107,7 @@
     pub(crate) blocks: BTreeMap<(Option<usize>, usize), (Micros, Micros)>,
     pub(crate) orders_out: u32,
     pub(crate) budget: f64,
-    /// The part of a call at which its next one may go, while it is cold. Drawn for each: where every gateway of
+    /// The part of a call at which its next one may go, while it is cold. Drawn for each: where every front end of
     /// many may send less than a call, on the mean their sum is what their budgets add up to, at any moment.
     pub(crate) draw: f64,
     /// What is known of its readiness while discovery is lost.
@@ -147,7 +147,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(entry: Entry, now: Micros) -> Self {
+    pub(crate) fn new(entry: WorkerEntry, now: Micros) -> Self {
         Worker {
             entry,
             heard: now,
@@ -208,7 +208,7 @@
     }
 }
 
-/// The decision module of one gateway.
+/// The decision module of one front end.
 #[derive(Default)]
 pub struct Controller {
     pub(crate) set: Settings,
@@ -339,7 +339,7 @@
     }
 
     /// Gives a new worker a slot: a vacant one, else a new one.
-    fn admit(&mut self, e: Entry, now: Micros, vacant: &mut Vec<usize>, draw: Draw) -> usize {
+    fn admit(&mut self, e: WorkerEntry, now: Micros, vacant: &mut Vec<usize>, draw: Draw) -> usize {
         let id = e.worker.clone();
         let w = vacant.pop().unwrap_or(self.workers.len());
         if w < self.workers.len() {
@@ -359,7 +359,7 @@
 
     /// Takes over news of the list. Returns the workers whose process is new, and those that hold nothing now.
     pub(crate) fn listed(
-        &mut self, now: Micros, full: bool, entries: Vec<Entry>, draw: Draw,
+        &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, draw: Draw,
     ) -> (Vec<usize>, Vec<usize>) {
         let (mut seen, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
         let mut vacant = self.vacant();
@@ -380,7 +380,7 @@
             let restarted = e.started_at != known.started_at && e.started_at != 0;
             let started_at = if restarted { e.started_at } else { known.started_at };
             let gone = e.state == WorkerState::Gone;
-            *known = Entry { started_at, ..e };
+            *known = WorkerEntry { started_at, ..e };
             started.extend(restarted.then_some(w));
             emptied.extend((restarted || gone).then_some(w));
         }
@@ -457,7 +457,7 @@
     }
 
     /// Sees to it that the workers skipped are these: if they were others, what is known of the function at workers
-    /// that are not among the nearest any more is left to those gateways whose nearest they are.
+    /// that are not among the nearest any more is left to those front ends whose nearest they are.
     pub(crate) fn keep_to(&mut self, f: usize, skipped: usize, draw: Draw) {
         if self.functions[f].skipped == skipped {
             return;
--- a/src/survey.rs
+++ b/src/survey.rs
@@ -41,14 +41,14 @@
         }
         let known = self.functions.len().saturating_sub(self.spare.len()).max(1) as f64;
         let memory = self.functions.iter().map(|f| f.memory).sum::<f64>() / known;
-        let kinds = &self.set.kind_memory_mb;
+        let kinds = &self.set.machine_memory_mb;
         self.instances = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64 / memory.max(1.0);
         let theta = theta(self.busy, self.instances);
         let stars = self.functions.iter().map(|g| self.counts(g, now)).map(|(d, l)| (d as f64 - l) / theta);
         self.least_star = stars.filter(|&z| z >= 1.0).fold(f64::INFINITY, f64::min);
         let young = |r: &&Request| {
             let out = r.attempts.last().is_some_and(|a| a.open && !a.cold);
-            out && !r.done && now < r.arrived + 2 * self.set.classes[r.class].aim
+            out && !r.done && now < r.arrived + 2 * self.set.classes[r.class].latency_target
         };
         let many = (span - SPANS.0 as f64) / (SPANS.1 - SPANS.0) as f64; // 0 where calls are many, to 1
         let few = (past as f64 / (span * many).max(1.0)).min(1.0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,48 +8,55 @@
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
 
-pub fn class(effect: Effect, group: Group) -> ClassSettings {
-    ClassSettings { effect, group, window: 3 * SEC, aim: SEC, worth: 1.0, ..ClassSettings::default() }
+pub fn class(retry_safety: RetrySafety, dedup_scope: DedupScope) -> ClassSettings {
+    ClassSettings {
+        retry_safety,
+        dedup_scope,
+        dedup_window: 3 * SEC,
+        latency_target: SEC,
+        worth: 1.0,
+        ..ClassSettings::default()
+    }
 }
 
-/// One gateway before workers where only an order loads; tests change what they need.
+/// One front end before workers where only an order loads; tests change what they need.
 pub fn settings() -> Settings {
     Settings {
-        gateways: 1,
+        front_ends: 1,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
+            class(RetrySafety::Safe, DedupScope::All),
+            class(RetrySafety::Deduplicated, DedupScope::Cell),
+            class(RetrySafety::Unsafe, DedupScope::All),
         ],
         tenants: vec![],
         over_share_worth: 0.2,
-        kind_memory_mb: vec![4000.0],
-        keep: 8 * SEC,
-        load_on_absence: false,
-        orders: true,
-        order_timeout: 10 * SEC,
+        machine_memory_mb: vec![4000.0],
+        keep_alive: 8 * SEC,
+        load_on_miss: false,
+        may_command: true,
+        command_timeout: 10 * SEC,
         load_window: 0,
-        load_free: 0.0,
-        load_share: 0.0,
+        free_loads: 0.0,
+        loads_per_request: 0.0,
         max_attempts: 4,
         may_cancel: true,
-        second_copies: false,
+        may_hedge: false,
         max_retry_after: SEC,
-        cold_from: 0.2,
-        warm_within: 10 * SEC,
-        fall_multiple: 2.0,
-        fall_window: SEC,
+        cold_capacity: 0.2,
+        warm_up_time: 10 * SEC,
+        overload_multiple: 2.0,
+        overload_window: SEC,
         ..Settings::default()
     }
 }
 
-pub fn entry(n: usize) -> Entry {
-    Entry {
+pub fn entry(n: usize) -> WorkerEntry {
+    WorkerEntry {
         worker: format!("w{n}"),
         state: WorkerState::Ready,
         started_at: 0,
         zone: n % 2,
-        kind: 0,
+        machine_type: 0,
         cell: (n / 2) as u64,
     }
 }
@@ -63,7 +70,7 @@
     /// A controller that has been told of `n` warm workers, `w0` ...
     pub fn new(settings: Settings, n: usize) -> Self {
         let mut rig = Rig { c: Controller::new(settings, 11), now: 100 * SEC };
-        rig.feed(Event::Members { full: true, entries: (0..n).map(entry).collect() });
+        rig.feed(Event::WorkerList { full: true, entries: (0..n).map(entry).collect() });
         rig
     }
 
@@ -90,7 +97,7 @@
             class,
             tenant: None,
             function,
-            left: 3 * SEC,
+            timeout: 3 * SEC,
             memory_mb: 500.0,
             lanes: 1,
             load_time: 400 * MS,
@@ -100,8 +107,8 @@
 
     pub fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight })
+        let (warm, function_inflight, inflight) = (None, None, None);
+        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, function_inflight, inflight })
     }
 
     pub fn loaded(&mut self, worker: &str, function: u64, count: u32, outcome: Outcome) -> Vec<Action> {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What goes wrong around a gateway, and odd input.
+//! What goes wrong around a front end, and odd input.
 mod common;
 use common::*;
 use heronslip_policy::*;
@@ -41,7 +41,7 @@
 #[test]
 fn where_allowed_a_second_copy_runs_beside_a_silent_first() {
     let mut set = settings();
-    set.second_copies = true;
+    set.may_hedge = true;
     let mut rig = Rig::new(set, 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
     rig.request(2, SAFE, 7);
@@ -52,7 +52,7 @@
 /// An answer that never comes is made up for while it can still be in time.
 #[test]
 fn where_connections_break_an_overdue_attempt_soon_gets_a_second_copy() {
-    let mut rig = Rig::new(Settings { second_copies: true, ..settings() }, 3);
+    let mut rig = Rig::new(Settings { may_hedge: true, ..settings() }, 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
     rig.request(2, SAFE, 7);
     assert!(sends(&rig.pass(SEC)).is_empty(), "no connection broke");
@@ -96,7 +96,7 @@
 /// A call that no worker can use ends after two errors, and no worker is accused of it.
 #[test]
 fn errors_of_a_function_never_served_end_its_call_and_accuse_nobody() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { load_on_miss: true, ..settings() }, 4);
     rig.warm(7, 1, &["w0", "w1", "w2", "w3"]);
     for id in 2..30 {
         let mut out = rig.request(id, SAFE, 1_000 + id);
@@ -137,7 +137,10 @@
 fn a_restart_voids_copies_and_clears_suspicion() {
     let mut rig = Rig::new(settings(), 1);
     rig.warm(7, 1, &["w0"]);
-    rig.feed(Event::Members { full: false, entries: vec![Entry { started_at: rig.now, ..entry(0) }] });
+    rig.feed(Event::WorkerList {
+        full: false,
+        entries: vec![WorkerEntry { started_at: rig.now, ..entry(0) }],
+    });
     assert!(sends(&rig.request(2, SAFE, 7)).is_empty());
 }
 
@@ -154,7 +157,7 @@
         class: 77,
         tenant: Some(9),
         function: 5,
-        left: u64::MAX,
+        timeout: u64::MAX,
         memory_mb: f64::NAN,
         lanes: 0,
         load_time: u64::MAX,
@@ -235,7 +238,7 @@
         class: UNSAFE,
         tenant: None,
         function: 7,
-        left: 60 * SEC,
+        timeout: 60 * SEC,
         memory_mb: 500.0,
         lanes: 1,
         load_time: 0,
@@ -273,20 +276,20 @@
 /// Clients that cut their tries short and repeat them would fill the fleet with work that nobody waits for.
 #[test]
 fn while_crowded_calls_whose_client_leaves_too_soon_are_refused() {
-    let short = |crowd: u64| {
+    let short = |function_inflight: u64| {
         let mut set = settings();
-        set.classes.iter_mut().for_each(|c| c.aim = 3000 * SEC); // so that only the client's patience can refuse
+        set.classes.iter_mut().for_each(|c| c.latency_target = 3000 * SEC); // so that only the client's patience can refuse
         let mut rig = Rig::new(set, 2);
         rig.warm(7, 1, &["w0", "w1"]);
         rig.pass(3 * SEC);
-        (10..10 + crowd).for_each(|id| drop(rig.request(id, SAFE, 7)));
+        (10..10 + function_inflight).for_each(|id| drop(rig.request(id, SAFE, 7)));
         rig.pass(12 * SEC); // so few calls are judged over several seconds
         let out = rig.feed(Event::Request {
             id: 999,
             class: SAFE,
             tenant: None,
             function: 7,
-            left: 50 * MS,
+            timeout: 50 * MS,
             memory_mb: 500.0,
             lanes: 1,
             load_time: 0,
@@ -310,12 +313,12 @@
     assert!(sends(&out).is_empty() && out.contains(&Action::Fail { id: 2 }), "{out:?}");
 }
 
-/// Seen in the simulator: losses of a function called now and then made every gateway add a copy, and together
+/// Seen in the simulator: losses of a function called now and then made every front end add a copy, and together
 /// they held 650 GB of copies in 480 GB of memory, which unloaded each other.
 #[test]
 fn a_seldom_called_function_gets_no_copy_for_each_loss() {
-    let added = |gateways| {
-        let mut rig = Rig::new(Settings { gateways, ..settings() }, 4);
+    let added = |front_ends| {
+        let mut rig = Rig::new(Settings { front_ends, ..settings() }, 4);
         rig.warm(7, 1, &["w0", "w1"]);
         // Both lanes are taken by calls that stay out: the third call is a loss.
         (2..5).flat_map(|id| loads(&rig.request(id, SAFE, 7), 1)).count()
@@ -329,7 +332,7 @@
     let mut rig = Rig::new(Settings { max_attempts: 6, ..settings() }, 6);
     rig.warm(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     rig.request(2, SAFE, 7);
-    let first = (0..3).flat_map(|n| rig.outcome(2, n, Outcome::Full, MS)).collect::<Vec<_>>();
+    let first = (0..3).flat_map(|n| rig.outcome(2, n, Outcome::Rejected, MS)).collect::<Vec<_>>();
     assert_eq!(sends(&first).len(), 2);
     assert!(first.iter().any(|a| matches!(a, Action::Refuse { id: 2, .. })), "{first:?}");
 }
@@ -354,14 +357,14 @@
             rig.warm(7, 1, &["w0"]);
             rig.pass(20 * SEC); // its copies have lapsed
         }
-        let (id, class, tenant, function, left) = (2, SAFE, None, 7, 8 * SEC);
+        let (id, class, tenant, function, timeout) = (2, SAFE, None, 7, 8 * SEC);
         let (memory_mb, lanes, load_time, retry) = (500.0, 1, 400 * MS, false);
         let asked = rig.feed(Event::Request {
             id,
             class,
             tenant,
             function,
-            left,
+            timeout,
             memory_mb,
             lanes,
             load_time,
@@ -377,19 +380,28 @@
     assert!(proven > 3 * SEC, "{proven}");
 }
 
-/// Seen in the simulator: with a handful of gateways ordinary unevenness read as crowding, each time a loss.
+/// Seen in the simulator: with a handful of front ends ordinary unevenness read as crowding, each time a loss.
 #[test]
 fn few_gateways_do_not_take_unevenness_for_crowding() {
-    let kept = |gateways| {
-        let mut rig = Rig::new(Settings { gateways, ..settings() }, 4);
+    let kept = |front_ends| {
+        let mut rig = Rig::new(Settings { front_ends, ..settings() }, 4);
         rig.warm(7, 1, &["w0", "w1", "w2", "w3"]);
         let mut calls = 0;
         for id in 10..210 {
             let worker = sends(&rig.request(id, SAFE, 7)).remove(0);
             let inflight = Some(if worker == "w0" { 8.0 } else { 4.0 });
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
-            let (warm, crowd) = (Some(true), None);
-            rig.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+            let (warm, function_inflight) = (Some(true), None);
+            rig.feed(Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                warm,
+                function_inflight,
+                inflight,
+            });
             rig.pass(100 * MS);
             calls += usize::from(worker == "w0");
         }
--- a/tests/inside/controller.rs
+++ b/tests/inside/controller.rs
@@ -1,19 +1,19 @@
 //! What only the crate itself sees: how long things are kept, and the design's worked numbers.
 use crate::replication::{theta, virtual_loss_chance};
-use crate::{Action, Controller, Entry, Event, Outcome, Settings, WorkerState};
+use crate::{Action, Controller, Event, Outcome, Settings, WorkerEntry, WorkerState};
 
-/// Nothing may grow with all that a gateway has ever seen.
+/// Nothing may grow with all that a front end has ever seen.
 #[test]
 fn functions_long_unused_and_closed_requests_are_forgotten() {
-    let set = Settings { orders: true, gateways: 200, keep: 1_000_000, ..Settings::default() };
+    let set = Settings { may_command: true, front_ends: 200, keep_alive: 1_000_000, ..Settings::default() };
     let (mut c, mut out, mut now) = (Controller::new(set, 1), Vec::new(), 1_000_000);
     for id in 0..2_000 {
         now += 20_000;
         let (class, tenant, memory_mb, lanes, load_time) = (0, None, 1.0, 1, 0);
-        let (function, left, retry) = (id, 100_000, false);
+        let (function, timeout, retry) = (id, 100_000, false);
         c.handle(
             now,
-            Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry },
+            Event::Request { id, class, tenant, function, timeout, memory_mb, lanes, load_time, retry },
             &mut out,
         );
         c.handle(now, Event::Timer { token: 0 }, &mut out);
@@ -31,19 +31,20 @@
 /// Workers are replaced by new ones all day long: the places of those that are gone are used again.
 #[test]
 fn workers_that_are_gone_leave_their_places() {
-    let (mut c, mut out) = (Controller::new(Settings { orders: true, ..Settings::default() }, 1), Vec::new());
+    let (mut c, mut out) =
+        (Controller::new(Settings { may_command: true, ..Settings::default() }, 1), Vec::new());
     for n in 0..200u64 {
         let entry = |n: u64, state| {
             let worker = format!("w{n}");
-            Entry { worker, state, started_at: 0, zone: 0, kind: 0, cell: 0 }
+            WorkerEntry { worker, state, started_at: 0, zone: 0, machine_type: 0, cell: 0 }
         };
         let entries = vec![entry(n, WorkerState::Ready), entry(n.wrapping_sub(3), WorkerState::Gone)];
-        c.handle(n * 1_000_000, Event::Members { full: false, entries }, &mut out);
+        c.handle(n * 1_000_000, Event::WorkerList { full: false, entries }, &mut out);
         let (id, class, tenant, memory_mb, lanes, load_time) = (n, 0, None, 1.0, 1, 0);
-        let (function, left, retry) = (7, 900_000, false);
+        let (function, timeout, retry) = (7, 900_000, false);
         c.handle(
             n * 1_000_000 + 1,
-            Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry },
+            Event::Request { id, class, tenant, function, timeout, memory_mb, lanes, load_time, retry },
             &mut out,
         );
         while let Some(action) = out.pop() {
@@ -53,8 +54,17 @@
                 c.handle(n * 1_000_000 + 1_000, answer, &mut out);
             } else if let Action::Send { id, .. } = action {
                 let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 1_000, true);
-                let (warm, crowd, inflight) = (None, None, None);
-                let end = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+                let (warm, function_inflight, inflight) = (None, None, None);
+                let end = Event::Outcome {
+                    id,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    closed,
+                    warm,
+                    function_inflight,
+                    inflight,
+                };
                 c.handle(n * 1_000_000 + 2_000, end, &mut out);
             }
         }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -76,7 +76,7 @@
         class: SAFE,
         tenant: None,
         function: 7,
-        left: 3 * SEC,
+        timeout: 3 * SEC,
         memory_mb: 500.0,
         lanes: 1,
         load_time: 0,
@@ -102,10 +102,10 @@
 fn gateways_draw_the_same_place_for_a_function() {
     let place = |seed| {
         let mut set = settings();
-        set.gateways = 3;
+        set.front_ends = 3;
         let mut c = Controller::new(set, seed);
         let mut out = Vec::new();
-        c.handle(SEC, Event::Members { full: true, entries: (0..9).map(entry).collect() }, &mut out);
+        c.handle(SEC, Event::WorkerList { full: true, entries: (0..9).map(entry).collect() }, &mut out);
         let mut rig = Rig { c, now: SEC };
         rig.request(1, SAFE, 7);
         let replies = (0..9).flat_map(|w| rig.loaded(&format!("w{w}"), 7, 0, Outcome::Ok));
@@ -118,7 +118,7 @@
 #[test]
 fn memory_short_by_our_own_account_drops_the_least_recently_lost() {
     let mut set = settings();
-    set.kind_memory_mb = vec![1600.0]; // two copies of 500 MB stay under the margin, three do not
+    set.machine_memory_mb = vec![1600.0]; // two copies of 500 MB stay under the margin, three do not
     let mut rig = Rig::new(set, 2);
     rig.warm(1, 1, &["w1"]);
     rig.pass(100 * MS);
@@ -127,8 +127,8 @@
     rig.warm(7, 3, &["w0"]);
     rig.request(4, SAFE, 7);
     let out = rig.request(5, SAFE, 7);
-    assert!(out.contains(&Action::Drop { worker: "w1".into(), function: 1 }), "{out:?}");
-    assert!(!out.contains(&Action::Drop { worker: "w1".into(), function: 2 }));
+    assert!(out.contains(&Action::Unload { worker: "w1".into(), function: 1 }), "{out:?}");
+    assert!(!out.contains(&Action::Unload { worker: "w1".into(), function: 2 }));
 }
 
 #[test]
@@ -156,7 +156,7 @@
 #[test]
 fn where_calls_load_by_themselves_and_the_ration_is_spent_the_call_goes_there() {
     let mut set = settings();
-    (set.load_on_absence, set.load_window) = (true, 5 * SEC); // nothing free, no share: no order at all
+    (set.load_on_miss, set.load_window) = (true, 5 * SEC); // nothing free, no share: no order at all
     let mut rig = Rig::new(set, 2);
     rig.request(1, SAFE, 7);
     let mut out = rig.loaded("w0", 7, 0, Outcome::Ok);
@@ -171,7 +171,7 @@
     rig.warm(7, 1, &["w0", "w1"]);
     for id in 2..40 {
         let to = sends(&rig.request(id, SAFE, 7)).remove(0);
-        let crowd = (to == "w0").then_some(3);
+        let function_inflight = (to == "w0").then_some(3);
         rig.feed(Event::Outcome {
             id,
             attempt: 0,
@@ -179,7 +179,7 @@
             elapsed: 50 * MS,
             closed: true,
             warm: Some(true),
-            crowd,
+            function_inflight,
             inflight: None,
         });
         if to == "w0" {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -35,7 +35,7 @@
     breaches: Vec<String>,
 }
 
-/// When a gateway that stands still for two seconds in every five hears of what happens at `t`.
+/// When a front end that stands still for two seconds in every five hears of what happens at `t`.
 fn heard(t: Micros, stalls: bool) -> Micros {
     let into = t % (5 * SEC);
     if stalls && into < 2 * SEC {
@@ -62,7 +62,7 @@
 
     fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Members { entries, .. } => {
+            Event::WorkerList { entries, .. } => {
                 for e in entries {
                     if e.state == WorkerState::Ready {
                         self.unready.remove(&e.worker);
@@ -74,9 +74,9 @@
                     }
                 }
             }
-            Event::Request { id, class, left, .. } => {
+            Event::Request { id, class, timeout, .. } => {
                 let (sent, answered, client_knows) = (vec![], false, false);
-                let r = Known { class: *class, ends: now + left, sent, answered, client_knows };
+                let r = Known { class: *class, ends: now + timeout, sent, answered, client_knows };
                 self.requests.insert(*id, r);
                 self.taken.push(now);
             }
@@ -84,7 +84,7 @@
                 let r = self.requests.get_mut(id).unwrap();
                 let s = &mut r.sent[*attempt];
                 s.open = false;
-                let never = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
+                let never = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
                 s.ran = !never.contains(outcome);
                 r.client_knows |= closed;
             }
@@ -104,7 +104,7 @@
                 if r.sent.len() as u32 >= self.set.max_attempts {
                     breach("too many attempts");
                 }
-                if !self.set.second_copies && r.sent.iter().any(|s| s.open) {
+                if !self.set.may_hedge && r.sent.iter().any(|s| s.open) {
                     breach("2 two at once");
                 }
                 let cell = |w: &str| w[1..].parse::<usize>().unwrap() / 2;
@@ -118,7 +118,7 @@
                 if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
                     breach("3 sent to a draining worker");
                 }
-                if let Some(&t) = self.started.get(worker).filter(|&&t| now < t + self.set.fall_window) {
+                if let Some(&t) = self.started.get(worker).filter(|&&t| now < t + self.set.overload_window) {
                     *self.to_cold.entry((worker.clone(), t)).or_default() += 1;
                 }
             }
@@ -129,7 +129,7 @@
                 self.orders.push(now);
                 let window = self.set.load_window;
                 let count = |of: &[Micros]| of.iter().filter(|&&t| t + window > now).count() as f64;
-                let most = self.set.load_free + self.set.load_share * count(&self.taken);
+                let most = self.set.free_loads + self.set.loads_per_request * count(&self.taken);
                 if window > 0 && count(&self.orders) > most {
                     breach("5 too many loads");
                 }
@@ -170,27 +170,27 @@
     let mut over: BTreeSet<u64> = BTreeSet::new();
     let mut serial = 0;
     let start = 100 * SEC;
-    due.insert((start, 0), Event::Members { full: true, entries: (0..6).map(entry).collect() });
+    due.insert((start, 0), Event::WorkerList { full: true, entries: (0..6).map(entry).collect() });
     let mut at = start;
     for id in 1..400u64 {
         at += draw(40) * MS;
         serial += 1;
-        let (class, left) = (draw(3) as usize, (20 + draw(3000)) * MS);
+        let (class, timeout) = (draw(3) as usize, (20 + draw(3000)) * MS);
         let (function, retry, memory_mb) = (draw(12), draw(8) == 0, 300.0);
         let (tenant, lanes, load_time) = (None, 1 + draw(2) as u32, 0);
-        let r = Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry };
+        let r = Event::Request { id, class, tenant, function, timeout, memory_mb, lanes, load_time, retry };
         due.insert((at, serial), r);
         if draw(15) == 0 {
             serial += 1;
-            due.insert((at + draw(1 + left), serial), Event::Withdrawn { id });
+            due.insert((at + draw(1 + timeout), serial), Event::Withdrawn { id });
         }
         if draw(10) == 0 {
             use WorkerState::*;
             let state = [Draining, Gone].get(draw(6) as usize).copied().unwrap_or(Ready);
             let started_at = if state == WorkerState::Ready && draw(2) == 0 { at } else { 0 };
-            let e = Entry { state, started_at, ..entry(draw(6) as usize) };
+            let e = WorkerEntry { state, started_at, ..entry(draw(6) as usize) };
             serial += 1;
-            due.insert((at + 1, serial), Event::Members { full: false, entries: vec![e] });
+            due.insert((at + 1, serial), Event::WorkerList { full: false, entries: vec![e] });
         }
     }
     let last = at + 20 * SEC;
@@ -222,7 +222,7 @@
                         Outcome::Ok,
                         Outcome::Ok,
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::Miss,
@@ -232,14 +232,23 @@
                     let took = if outcome == Outcome::Timeout { timeout } else { draw(600) * MS + 1 };
                     let (elapsed, closed) = (took.min(timeout), false);
                     let outcome = if took > timeout { Outcome::Timeout } else { outcome };
-                    let (attempt, warm, crowd, inflight) = (*n, None, None, Some(draw(9) as f64));
+                    let (attempt, warm, function_inflight, inflight) = (*n, None, None, Some(draw(9) as f64));
                     *n += 1;
-                    let e = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+                    let e = Event::Outcome {
+                        id,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        closed,
+                        warm,
+                        function_inflight,
+                        inflight,
+                    };
                     due.insert((now + elapsed.max(1), serial), e);
                 }
                 Action::Load { worker, function, count } => {
                     let (outcome, count) = match draw(6) {
-                        0 => (Outcome::Full, 0),
+                        0 => (Outcome::Rejected, 0),
                         1 => (Outcome::Error, 0),
                         2 => (Outcome::Reset, 0),
                         _ => (Outcome::Ok, count.max(draw(2) as u32)),
@@ -261,14 +270,14 @@
 
 fn sites() -> Vec<Settings> {
     let mut a = settings();
-    a.gateways = 3;
+    a.front_ends = 3;
     let mut b = a.clone();
-    (b.load_on_absence, b.second_copies) = (true, true);
-    (b.load_window, b.load_free, b.load_share) = (5 * SEC, 4.0, 0.2);
+    (b.load_on_miss, b.may_hedge) = (true, true);
+    (b.load_window, b.free_loads, b.loads_per_request) = (5 * SEC, 4.0, 0.2);
     let mut many = b.clone();
-    many.gateways = 200;
+    many.front_ends = 200;
     let mut none = a.clone();
-    none.gateways = 0;
+    none.front_ends = 0;
     vec![settings(), a, b, many, none]
 }
 
@@ -276,11 +285,11 @@
 fn the_rules_hold_over_random_streams() {
     for (n, set) in sites().into_iter().enumerate() {
         for seed in 0..40 {
-            let stalls = seed % 2 == 1; // every other gateway stands still now and then
+            let stalls = seed % 2 == 1; // every other front end stands still now and then
             let checker = stream(seed, set.clone(), stalls);
             assert!(checker.breaches.is_empty(), "site {n}, seed {seed}: {:?}", checker.breaches);
-            // One of two hundred gateways may send next to nothing to a fleet that restarts all the time.
-            let least = if set.gateways > 100 {
+            // One of two hundred front ends may send next to nothing to a fleet that restarts all the time.
+            let least = if set.front_ends > 100 {
                 0
             } else if stalls {
                 11
@@ -307,7 +316,7 @@
         class,
         tenant: None,
         function: 1,
-        left: SEC,
+        timeout: SEC,
         memory_mb: 1.0,
         lanes: 1,
         load_time: 0,
@@ -315,8 +324,8 @@
     };
     checker.event(0, &request(1, UNSAFE));
     checker.event(0, &request(2, SAFE));
-    let gone = Entry { state: WorkerState::Gone, ..entry(0) };
-    checker.event(0, &Event::Members { full: false, entries: vec![gone] });
+    let gone = WorkerEntry { state: WorkerState::Gone, ..entry(0) };
+    checker.event(0, &Event::WorkerList { full: false, entries: vec![gone] });
     let send = |id, w: &str| Action::Send { id, worker: w.into(), timeout: 0 };
     checker.action(1, &send(1, "w1"));
     checker.action(2, &send(1, "w2"));
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -5,9 +5,9 @@
 
 const GRACE: Micros = SEC;
 
-/// A gateway whose workers hold function 7, and that has lost discovery at the rig's time.
+/// A front end whose workers hold function 7, and that has lost discovery at the rig's time.
 fn without_discovery(workers: usize) -> Rig {
-    let set = Settings { drain_grace: GRACE, probes: true, ..settings() };
+    let set = Settings { drain_grace: GRACE, may_probe: true, ..settings() };
     let mut rig = Rig::new(set, workers);
     rig.feed(Event::Discovery { state: DiscoveryState::Current });
     let names: Vec<String> = (0..workers).map(|n| format!("w{n}")).collect();
@@ -89,7 +89,7 @@
         asked += probes(&out).len();
         assert!(new_work(&out).is_empty(), "call {id}: {out:?}");
         if !probes(&out).is_empty() {
-            assert!(new_work(&probed(&mut rig, "w0", Outcome::Full)).is_empty());
+            assert!(new_work(&probed(&mut rig, "w0", Outcome::Rejected)).is_empty());
         }
     }
     assert!((2..=6).contains(&asked), "{asked} probes in four seconds");
@@ -101,7 +101,7 @@
     let mut rig = without_discovery(2);
     rig.now += GRACE / 4;
     let first = sends(&rig.request(2, SAFE, 7)).remove(0);
-    rig.outcome(2, 0, Outcome::Full, 2 * MS);
+    rig.outcome(2, 0, Outcome::Rejected, 2 * MS);
     rig.now += GRACE / 4; // the block that any full worker gets is over
     let mut probed_first = false;
     for id in 3..23 {
@@ -150,7 +150,7 @@
     }
 }
 
-/// A gateway that stood still may have news unread: its list is as old as its last event, until discovery is heard.
+/// A front end that stood still may have news unread: its list is as old as its last event, until discovery is heard.
 #[test]
 fn a_gateway_that_stood_still_does_not_trust_its_list() {
     let mut rig = without_discovery(1);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -51,7 +51,7 @@
             class: KEYED,
             tenant: None,
             function: 7,
-            left: 10 * SEC,
+            timeout: 10 * SEC,
             memory_mb: 500.0,
             lanes: 1,
             load_time: 0,
@@ -73,7 +73,7 @@
     for state in [WorkerState::Draining, WorkerState::Gone] {
         let mut rig = Rig::new(settings(), 2);
         rig.warm(7, 1, &["w0"]);
-        rig.feed(Event::Members { full: false, entries: vec![Entry { state, ..entry(0) }] });
+        rig.feed(Event::WorkerList { full: false, entries: vec![WorkerEntry { state, ..entry(0) }] });
         let mut out = rig.request(2, SAFE, 7);
         out.extend(rig.pass(4 * SEC));
         assert!(!sends(&out).contains(&"w0".to_string()) && !loads(&out, 1).contains(&"w0".to_string()));
@@ -84,7 +84,10 @@
 fn rule_4_a_cold_worker_gets_a_part_of_what_warm_ones_get() {
     let mut rig = Rig::new(settings(), 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
-    rig.feed(Event::Members { full: false, entries: vec![Entry { started_at: rig.now, ..entry(2) }] });
+    rig.feed(Event::WorkerList {
+        full: false,
+        entries: vec![WorkerEntry { started_at: rig.now, ..entry(2) }],
+    });
     rig.loaded("w2", 7, 1, Outcome::Ok);
     let mut to_cold = 0;
     let mut id = 10;
@@ -106,23 +109,23 @@
     assert!(to_cold < 20, "{to_cold} calls to the cold worker");
 }
 
-/// What the gateways of a fleet may send a worker that has just started adds up to its budget, whatever the calls of
+/// What the front ends of a fleet may send a worker that has just started adds up to its budget, whatever the calls of
 /// its classes cost: with one core, N calls within the window and what chance adds.
 #[test]
 fn rule_4_holds_for_the_sum_of_a_fleet() {
     for class in [0, 1] {
         let mut set = settings();
-        set.gateways = 30;
-        (set.fall_multiple, set.fall_window, set.warm_within) = (4.0, 3 * SEC, 18 * SEC);
-        set.load_on_absence = true;
+        set.front_ends = 30;
+        (set.overload_multiple, set.overload_window, set.warm_up_time) = (4.0, 3 * SEC, 18 * SEC);
+        set.load_on_miss = true;
         set.classes.truncate(2);
-        (set.classes[0].aim, set.classes[1].aim) = (80 * MS, 400 * MS); // 20 and 100 ms are taken for usual
+        (set.classes[0].latency_target, set.classes[1].latency_target) = (80 * MS, 400 * MS); // 20 and 100 ms are taken for usual
         let service = [20 * MS, 100 * MS][class];
-        let cold = Entry { started_at: 100 * SEC, ..entry(0) };
+        let cold = WorkerEntry { started_at: 100 * SEC, ..entry(0) };
         let mut sent = 0;
         for gateway in 0..30 {
             let mut rig = Rig { c: Controller::new(set.clone(), gateway), now: 100 * SEC };
-            rig.feed(Event::Members { full: true, entries: vec![cold.clone()] });
+            rig.feed(Event::WorkerList { full: true, entries: vec![cold.clone()] });
             // More calls than the worker may get, each of which finds a copy and is served at once.
             for id in 0..150 {
                 let mut out = rig.pass(20 * MS);
@@ -151,7 +154,7 @@
 #[test]
 fn rule_5_orders_stay_within_the_ration() {
     let mut set = settings();
-    (set.load_window, set.load_free, set.load_share) = (5 * SEC, 2.0, 0.1);
+    (set.load_window, set.free_loads, set.loads_per_request) = (5 * SEC, 2.0, 0.1);
     let mut rig = Rig::new(set, 3);
     let (mut orders, mut taken) = (0, 0);
     for id in 0..40 {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,12 +1,12 @@
-//! A hundred gateways and more: each sees little, and what each does is multiplied.
+//! A hundred front ends and more: each sees little, and what each does is multiplied.
 mod common;
 use common::*;
 use heronslip_policy::*;
 
-fn many(gateways: u32) -> Settings {
+fn many(front_ends: u32) -> Settings {
     let tenant = |quota_per_s| TenantSettings { quota_per_s, ..TenantSettings::default() };
     let tenants = vec![tenant(60.0), tenant(40.0)];
-    Settings { gateways, tenants, ..settings() }
+    Settings { front_ends, tenants, ..settings() }
 }
 
 fn call(rig: &mut Rig, id: u64, function: u64, tenant: usize) -> Vec<Action> {
@@ -15,7 +15,7 @@
         class: SAFE,
         tenant: Some(tenant),
         function,
-        left: 3 * SEC,
+        timeout: 3 * SEC,
         memory_mb: 500.0,
         lanes: 4,
         load_time: 400 * MS,
@@ -25,7 +25,16 @@
 
 fn answer(rig: &mut Rig, id: u64, outcome: Outcome, elapsed: Micros, inflight: Option<f64>) -> Vec<Action> {
     let closed = outcome == Outcome::Ok;
-    rig.feed(Event::Outcome { id, attempt: 0, outcome, elapsed, closed, warm: None, crowd: None, inflight })
+    rig.feed(Event::Outcome {
+        id,
+        attempt: 0,
+        outcome,
+        elapsed,
+        closed,
+        warm: None,
+        function_inflight: None,
+        inflight,
+    })
 }
 
 /// Makes `function` believed warm at all of the workers that are asked about it.
@@ -74,7 +83,7 @@
     refused
 }
 
-/// Four calls within half a second are no overload of two hundred gateways, only chance at one of them.
+/// Four calls within half a second are no overload of two hundred front ends, only chance at one of them.
 #[test]
 fn a_few_calls_at_once_at_one_of_many_gateways_refuse_nothing() {
     let calls: Vec<_> = (0..48u64).map(|n| (n / 4 * 2 * SEC + n % 4 * 110 * MS, 0)).collect();
@@ -88,7 +97,7 @@
     assert!(play(&calls, 1600 * MS, Some(20.0)) > 0, "where they report crowds it does");
 }
 
-/// Half of a thin stream is no proof that a tenant whose share is 40% goes beyond it at all gateways.
+/// Half of a thin stream is no proof that a tenant whose share is 40% goes beyond it at all front ends.
 #[test]
 fn a_tenants_share_is_judged_by_its_part_of_the_traffic() {
     let calls: Vec<_> = (0..60u64).map(|n| (n * 500 * MS, n as usize % 2)).collect();
@@ -98,9 +107,9 @@
     assert!(play(&calls, 700 * MS, None) > 0);
 }
 
-/// The workers that one of so many gateways sends the calls of a function to, all of which know it warm.
-fn used(gateways: u32, index: u32) -> std::collections::BTreeSet<String> {
-    let mut rig = Rig::new(Settings { index, ..many(gateways) }, 40);
+/// The workers that one of so many front ends sends the calls of a function to, all of which know it warm.
+fn used(front_ends: u32, index: u32) -> std::collections::BTreeSet<String> {
+    let mut rig = Rig::new(Settings { index, ..many(front_ends) }, 40);
     warm_all(&mut rig, 1, 7);
     let mut used = std::collections::BTreeSet::new();
     for id in 10..60 {
@@ -121,15 +130,15 @@
     used
 }
 
-/// Many gateways spread a function over more workers than two do, and each of them uses a part of those only.
+/// Many front ends spread a function over more workers than two do, and each of them uses a part of those only.
 #[test]
 fn calls_of_many_gateways_spread_a_function_that_one_alone_would_not() {
-    let all = |gateways: u32, step: usize| -> usize {
-        let used = (0..gateways).step_by(step).flat_map(|index| used(gateways, index));
+    let all = |front_ends: u32, step: usize| -> usize {
+        let used = (0..front_ends).step_by(step).flat_map(|index| used(front_ends, index));
         used.collect::<std::collections::BTreeSet<String>>().len()
     };
     let (few, hundreds) = (all(2, 1), all(200, 20));
-    assert!(hundreds >= few + 5, "{few} workers for two gateways, {hundreds} for ten of two hundred");
+    assert!(hundreds >= few + 5, "{few} workers for two front_ends, {hundreds} for ten of two hundred");
     let most = (0..200).step_by(20).map(|index| used(200, index).len()).max();
     assert!(most.is_some_and(|n| n <= 20), "{most:?} workers for one of them");
 }
@@ -143,7 +152,7 @@
     answer(&mut rig, 2, Outcome::Ok, 50 * MS, Some(1.0)); // it reports room
     rig.pass(200 * MS);
     call(&mut rig, 3, 7, 0);
-    answer(&mut rig, 3, Outcome::Full, 50 * MS, Some(1.0));
+    answer(&mut rig, 3, Outcome::Rejected, 50 * MS, Some(1.0));
     rig.pass(2 * SEC);
     assert!(sends(&call(&mut rig, 4, 7, 0)).is_empty(), "its tenant was turned away two seconds ago");
     assert_eq!(sends(&call(&mut rig, 5, 7, 1)), ["w0"]);
@@ -157,7 +166,7 @@
     for id in 10..110 {
         if !sends(&call(&mut rig, id, 7, 0)).is_empty() {
             tries += 1;
-            answer(&mut rig, id, Outcome::Full, MS, None);
+            answer(&mut rig, id, Outcome::Rejected, MS, None);
         }
         rig.pass(40 * MS);
     }
@@ -199,7 +208,7 @@
 #[test]
 fn a_gateway_that_stood_still_accuses_no_worker_and_sends_nothing_twice() {
     let mut set = many(100);
-    set.second_copies = true;
+    set.may_hedge = true;
     let mut rig = Rig::new(set, 4);
     warm_all(&mut rig, 1, 7);
     rig.pass(SEC);
@@ -224,7 +233,7 @@
     assert_eq!(seen.len(), 4, "{seen:?}");
 }
 
-/// Rule 4 over the sum: of a hundred gateways that all want to send to a worker just started, few may.
+/// Rule 4 over the sum: of a hundred front ends that all want to send to a worker just started, few may.
 #[test]
 fn the_cold_budgets_of_many_gateways_do_not_fill_in_step() {
     let mut sent_in = [0; 2];
@@ -233,7 +242,7 @@
         let mut out = Vec::new();
         let mut new = entry(0);
         new.started_at = 100 * SEC;
-        c.handle(100 * SEC, Event::Members { full: true, entries: vec![new] }, &mut out);
+        c.handle(100 * SEC, Event::WorkerList { full: true, entries: vec![new] }, &mut out);
         let mut rig = Rig { c, now: 100 * SEC };
         call(&mut rig, 1, 7, 0);
         rig.loaded("w0", 7, 1, Outcome::Ok);
@@ -264,11 +273,11 @@
     }
 }
 
-/// Questions and holds cost what the settings say: a hundred gateways must not each spend what one would.
+/// Questions and holds cost what the settings say: a hundred front ends must not each spend what one would.
 #[test]
 fn what_questions_and_holds_cost_stays_a_small_part_of_what_calls_are_worth() {
-    let spent = |probe_price| {
-        let set = Settings { probe_price, load_on_absence: true, ..many(100) };
+    let spent = |probe_cost| {
+        let set = Settings { probe_cost, load_on_miss: true, ..many(100) };
         let mut rig = Rig::new(set, 40);
         let mut orders = 0;
         for id in 1..=200 {
@@ -293,7 +302,7 @@
 /// A call that is called off when its time is up got no answer, though no time-out was told of it.
 #[test]
 fn a_worker_that_let_a_call_run_out_is_not_sent_the_next_one() {
-    let mut rig = Rig::new(Settings { orders: false, load_on_absence: true, ..many(100) }, 40);
+    let mut rig = Rig::new(Settings { may_command: false, load_on_miss: true, ..many(100) }, 40);
     let silent = sends(&call(&mut rig, 1, 7, 0)).remove(0);
     rig.pass(3 * SEC);
     let ended = rig.feed(Event::Timer { token: 1 << 1 | 1 });
@@ -303,7 +312,7 @@
     assert!(!sends(&call(&mut rig, 2, 7, 0)).contains(&silent), "to {silent} again");
 }
 
-/// Each of a hundred gateways has few calls: trials of a worker that ails must not take many of them.
+/// Each of a hundred front ends has few calls: trials of a worker that ails must not take many of them.
 #[test]
 fn trial_calls_to_a_suspect_are_few_where_calls_are_few() {
     let mut rig = Rig::new(many(100), 12);
@@ -325,7 +334,7 @@
 /// A question to six places costs more than what it tells: the first call of a function goes out unasked.
 #[test]
 fn where_a_question_is_dear_none_is_asked() {
-    let mut rig = Rig::new(Settings { probe_price: 0.08, load_on_absence: true, ..many(100) }, 40);
+    let mut rig = Rig::new(Settings { probe_cost: 0.08, load_on_miss: true, ..many(100) }, 40);
     for id in 1..=100 {
         let out = call(&mut rig, id, id, 0);
         assert!(loads(&out, 0).is_empty(), "call {id}: {out:?}");
@@ -379,27 +388,27 @@
     assert_eq!(kept, [500, 500, 500]);
 }
 
-/// Workers that come take the slots of those that left, and the head of each function's order stays what all gateways
+/// Workers that come take the slots of those that left, and the head of each function's order stays what all front ends
 /// would work out anew.
 #[test]
 fn replaced_workers_leave_no_records_and_the_order_is_the_same_for_all() {
     let mut rig = Rig::new(many(200), 200);
     warm_all(&mut rig, 1, 7);
     let name = |n: usize, round: usize| format!("w{n}-{round}");
-    let entry = |worker: String, state| Entry { worker, state, ..entry(0) };
+    let entry = |worker: String, state| WorkerEntry { worker, state, ..entry(0) };
     let old = |n: usize, round: usize| if round == 0 { format!("w{n}") } else { name(n, round - 1) };
     for round in 0..5 {
         for n in 0..200 {
             let entries =
                 vec![entry(old(n, round), WorkerState::Gone), entry(name(n, round), WorkerState::Ready)];
-            rig.feed(Event::Members { full: false, entries });
+            rig.feed(Event::WorkerList { full: false, entries });
         }
     }
     let kept = rig.c.footprint().workers;
     assert!(kept <= 210, "{kept} records for 200 workers");
     let mut fresh = Rig::new(many(200), 0);
     let entries = (0..200).map(|n| entry(name(n, 4), WorkerState::Ready)).collect();
-    fresh.feed(Event::Members { full: true, entries });
+    fresh.feed(Event::WorkerList { full: true, entries });
     rig.pass(10 * SEC);
     let asked = |rig: &mut Rig, id| {
         let mut asked = loads(&call(rig, id, 7, 0), 0);
