--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,30 +1,30 @@
-//! The types through which a front end and the decision module talk: settings, events and actions.
+//! The types that a front end and the decision logic exchange: settings, events and actions.
 //!
-//! Times are microseconds on one clock of the front end's choosing that only advances. Classes, tenants,
-//! zones and machine kinds are positions in the settings' lists, so no name reaches the decisions.
+//! Times are microseconds on one monotonic clock of the front end's choosing. Classes, tenants, zones and
+//! machine types are indexes into the lists in [`Settings`], so the decisions never see a name.
 
-/// A point on the front end's clock, or a span of it, in microseconds.
+/// A time on the front end's clock, or a duration, in microseconds.
 pub type Micros = u64;
-/// Identifier of a request, unique for the life of a front end.
+/// Identifier of a request, unique for the lifetime of a front end.
 pub type RequestId = u64;
 /// Identifier of a function.
 pub type FunctionId = u64;
-/// Name of a worker, as the list gives it.
+/// Name of a worker, as the worker list gives it.
 pub type WorkerId = String;
 
-/// What repeating a call may do.
+/// Whether a call may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// May run any number of times.
+    /// Idempotent: may run any number of times.
     Safe,
-    /// Carries a key by which a group of workers drops repeats for a while.
+    /// Carries an idempotency key by which the workers of a [`DedupScope`] drop repeats for a limited time.
     Deduplicated,
     /// Must never run twice.
     #[default]
     Unsafe,
 }
 
-/// The workers that share their memory of keys.
+/// The workers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DedupScope {
     /// All workers.
@@ -39,37 +39,37 @@
 /// One class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSettings {
-    /// Its name on the wires.
+    /// Name on the wire.
     pub name: String,
-    /// What a repeat may do.
+    /// Whether a call may be repeated.
     pub retry_safety: RetrySafety,
-    /// For keyed classes, who drops repeats.
+    /// For deduplicated classes: which workers drop each other's repeats.
     pub dedup_scope: DedupScope,
-    /// For keyed classes, how long repeats are dropped.
+    /// For deduplicated classes: how long repeats are dropped.
     pub dedup_window: Micros,
-    /// An answer within this span earns full worth; 0 if none is stated.
+    /// A response within this time earns the full worth; 0 if not stated.
     pub latency_target: Micros,
     /// How long clients wait, over all their tries; 0 if not stated.
     pub client_timeout: Micros,
-    /// Worth of one request.
+    /// Worth of serving one request.
     pub worth: f64,
 }
 
 /// One tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantSettings {
-    /// Its name on the wires.
+    /// Name on the wire.
     pub name: String,
-    /// Requests a second over all front ends that count as within its share; 0 if none is stated.
+    /// Requests per second over all front ends that count as within the tenant's quota; 0 if not stated.
     pub quota_per_s: f64,
 }
 
-/// What a front end is told at its start. A figure of 0 means that it was not stated.
+/// Configuration of a front end, fixed at its start. A value of 0 means not stated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of front ends that serve the same workers.
     pub front_ends: u32,
-    /// Which of them this is, from 0.
+    /// This front end's number among them, from 0.
     pub index: u32,
     /// Classes of requests.
     pub classes: Vec<ClassSettings>,
@@ -77,53 +77,54 @@
     pub tenants: Vec<TenantSettings>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Names of the machine kinds.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
-    /// Memory of each machine kind, in MB.
+    /// Worth of a request beyond its tenant's quota, as a fraction of its class's worth.
+    pub over_quota_worth: f64,
+    /// Memory of each machine type, in MB.
     pub machine_memory_mb: Vec<f64>,
-    /// How long an idle copy stays at the least.
+    /// Workers keep an idle copy loaded for at least this long.
     pub keep_alive: Micros,
-    /// Whether a worker that lacks the function loads it for a call (otherwise it answers with a miss).
+    /// Whether a worker that lacks the function loads it for a call. If not, it replies with a miss.
     pub load_on_miss: bool,
-    /// Whether holds and drops may be ordered.
+    /// Whether load commands, copy queries and unload commands may be sent.
     pub may_command: bool,
-    /// When an unanswered order is reported as timed out.
+    /// A command without a reply for this long is reported as timed out.
     pub command_timeout: Micros,
-    /// Window of the ration on loads; 0: no ration.
+    /// Window of the limit on load commands; 0: no limit.
     pub load_window: Micros,
-    /// Loads allowed in a window whatever the traffic.
+    /// Load commands allowed in a window whatever the traffic.
     pub free_loads: f64,
-    /// Further loads allowed for each request taken in the window.
+    /// Further load commands allowed for each request accepted in the window.
     pub loads_per_request: f64,
     /// Attempts allowed for a request; 0: not stated.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Whether a request may have two attempts out at once.
+    /// Whether a request may have two attempts in flight at once (hedging).
     pub may_hedge: bool,
-    /// Longest wait that clients can be advised of; 0: no advice is passed on.
+    /// Longest `Retry-After` that clients can be given; 0: none is passed on.
     pub max_retry_after: Micros,
-    /// What a probe or an order costs, in shares of the result for one a request; 0: nothing.
+    /// Cost of sending one probe or command per request, as a fraction of the overall result; 0: free.
     pub probe_cost: f64,
-    /// A connection not established within this span counts as failed.
+    /// A connection not established within this time counts as failed.
     pub connect_timeout: Micros,
-    /// Workers close connections idle for this long.
+    /// Workers close connections that have been idle for this long.
     pub connection_idle_timeout: Micros,
-    /// Attempts that one connection to a worker carries together; 0: not stated.
+    /// Concurrent attempts on one connection to a worker; 0: not stated.
     pub streams_per_connection: u32,
-    /// Share of its capacity with which a worker starts at the least.
+    /// Fraction of its full capacity that a worker has at least when it starts.
     pub cold_capacity: f64,
-    /// Time after which a started worker is warm at the latest.
+    /// A worker has its full capacity at the latest this long after its start.
     pub warm_up_time: Micros,
-    /// A cold worker that is sent more than this multiple of its capacity ...
+    /// A cold worker fails if it is sent more than this multiple of its capacity throughout
+    /// [`overload_window`](Settings::overload_window).
     pub overload_multiple: f64,
-    /// ... for this long falls over.
+    /// How long a cold worker withstands more than [`overload_multiple`](Settings::overload_multiple).
     pub overload_window: Micros,
-    /// Whether the list of workers must be subscribed to.
+    /// Whether the front end must subscribe to the worker list.
     pub must_subscribe: bool,
-    /// Sends to a worker must cease this long after the front end was told that it drains or is gone.
+    /// Sends to a worker must stop this long after the front end was notified that it drains or is gone.
     pub drain_grace: Micros,
     /// Whether workers may be probed.
     pub may_probe: bool,
@@ -132,191 +133,192 @@
 /// State of a listed worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes the work it has; nothing new may be sent to it.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One entry of the list of workers.
+/// One entry of the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
-    /// Which worker.
+    /// The worker.
     pub worker: WorkerId,
     /// Its state.
     pub state: WorkerState,
     /// When it last started; 0: long ago.
     pub started_at: Micros,
-    /// Its zone's position in the settings.
+    /// Index of its zone in the settings.
     pub zone: usize,
-    /// Its machine kind's position in the settings.
+    /// Index of its machine type in the settings.
     pub machine_type: usize,
     /// Its cell.
     pub cell: u64,
 }
 
-/// Whether the list of workers is kept up to date.
+/// Whether the worker list is kept up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryState {
-    /// All that discovery has to tell has been told.
+    /// All changes that discovery knows of have been received.
     Current,
-    /// Discovery may have more to tell than has been heard.
+    /// Discovery may know of changes that have not been received.
     Lost,
 }
 
-/// How an attempt, an order, a question or a probe ended.
+/// How an attempt, a command or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served, or the copies stand, or the worker takes work.
+    /// The call was served, the copies are loaded, or the worker accepts work.
     Ok,
-    /// Answered with an error; a call may have run.
+    /// The reply was an error; a call may have run.
     Error,
-    /// Turned away unseen, or no room, or the worker takes no work.
+    /// Rejected: the call did not run, there is no room for the copy, or the worker accepts no work.
     Rejected,
-    /// No answer in time; a call may have run.
+    /// No reply in time; a call may have run.
     Timeout,
     /// No connection; nothing ran.
     ConnectFailed,
-    /// Connection lost; a call may have run.
+    /// The connection was lost; a call may have run.
     Reset,
     /// Cancelled; a call may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// The function is not loaded there; nothing ran.
+    /// The function is not loaded at the worker; nothing ran.
     Miss,
 }
 
-/// What happens to a front end.
+/// Input of the decision logic: something happened at the front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of workers; `full` lists replace what was known.
+    /// An update of the worker list; a `full` list replaces what was known.
     WorkerList {
         /// Whether this is the whole list.
         full: bool,
         /// The entries.
         entries: Vec<WorkerEntry>,
     },
-    /// Discovery was lost or is current again. Where this never comes, the list counts as current.
+    /// Discovery was lost or is current again. A front end that never reports this counts as current.
     Discovery {
-        /// How it stands from now on.
+        /// The new state.
         state: DiscoveryState,
     },
     /// A client's request.
     Request {
         /// Its identifier.
         id: RequestId,
-        /// Its class's position in the settings.
+        /// Index of its class in the settings.
         class: usize,
-        /// Its tenant's position in the settings.
+        /// Index of its tenant in the settings.
         tenant: Option<usize>,
-        /// The function it calls.
+        /// The function that it calls.
         function: FunctionId,
         /// Time until the client gives up.
         timeout: Micros,
-        /// Memory of one copy, in MB; 0 if not told.
+        /// Memory of one copy of the function, in MB; 0 if unknown.
         memory_mb: f64,
-        /// Calls that one copy runs at a time; 0 if not told.
+        /// Calls that one copy runs concurrently; 0 if unknown.
         lanes: u32,
-        /// Usual time of a load; 0 if not told.
+        /// Usual time to load the function; 0 if unknown.
         load_time: Micros,
-        /// Whether the client marks it as a repeat.
+        /// Whether the client marks it as a retry.
         retry: bool,
     },
-    /// How an attempt ended.
+    /// An attempt ended.
     Outcome {
         /// The request.
         id: RequestId,
         /// The attempt's number, counted from 0.
         attempt: usize,
-        /// What came of it.
+        /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Micros,
         /// Whether the request is finished.
         closed: bool,
-        /// Whether a copy stood loaded when the call came, where this is told.
+        /// Whether a copy was already loaded when the call arrived, if the worker reports it.
         warm: Option<bool>,
-        /// Requests of the same function that the worker held, where this is told.
+        /// Requests of the same function at the worker, if it reports them.
         function_inflight: Option<u32>,
-        /// Requests that the worker reported to hold, if it did.
+        /// Requests at the worker, if it reports them.
         inflight: Option<f64>,
     },
-    /// The client left; nothing more is owed.
+    /// The client cancelled the request or disconnected; no response is due.
     Withdrawn {
         /// The request.
         id: RequestId,
     },
-    /// A timer is due.
+    /// A timer fired.
     Timer {
-        /// The token it was set with.
+        /// The token that it was set with.
         token: u64,
     },
-    /// The answer to one [`Action::Load`].
+    /// The reply to one [`Action::Load`].
     Loaded {
-        /// The worker ordered.
+        /// The worker that the command went to.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies that stand loaded.
+        /// Copies loaded at the worker.
         count: u32,
-        /// How the order ended.
+        /// How the command ended.
         outcome: Outcome,
-        /// Time since the order.
+        /// Time since the command was sent.
         elapsed: Micros,
     },
-    /// The answer to one [`Action::Probe`].
+    /// The result of one [`Action::Probe`].
     Probed {
         /// The worker probed.
         worker: WorkerId,
-        /// `Ok` if it takes work, `Full` if it does not; else why there is no answer.
+        /// `Ok` if it accepts work, `Rejected` if it does not; otherwise why there is no reply.
         outcome: Outcome,
-        /// Requests that the worker reported to hold, if it did.
+        /// Requests at the worker, if it reports them.
         inflight: Option<f64>,
     },
 }
 
-/// What a front end is to do, in the order given.
+/// Output of the decision logic. The front end carries out actions in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// When to stop waiting for it; 0: when the client gives up.
+        /// How long to wait for it; 0: until the client gives up.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt and stop waiting for it.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Final response: refused. Nothing ran, so the client may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Advice to wait this long; 0: none.
+        /// Delay that the client is advised to wait; 0: none.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final response: failed. The call may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Call back with [`Event::Timer`].
+    /// Set a timer; [`Event::Timer`] reports it.
     Timer {
-        /// After this span.
+        /// Time until it fires.
         delay: Micros,
-        /// To be returned.
+        /// Passed back with the event.
         token: u64,
     },
-    /// Have a worker hold at least `count` copies; 0 only asks how many stand.
+    /// Load command: have a worker keep at least `count` copies loaded. With a count of 0 it is a copy
+    /// query, which only returns the number of copies loaded.
     Load {
         /// The worker.
         worker: WorkerId,
@@ -325,21 +327,21 @@
         /// Copies wanted.
         count: u32,
     },
-    /// Have a worker unload the idle copies of a function.
+    /// Unload command: have a worker unload the idle copies of a function.
     Unload {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
-    /// Ask a worker whether it takes work.
+    /// Ask a worker whether it accepts work.
     Probe {
         /// The worker.
         worker: WorkerId,
     },
-    /// Subscribe to the list of workers.
+    /// Subscribe to the worker list.
     Subscribe,
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log {
         /// The text.
         text: String,
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,14 +1,16 @@
-//! Reading of loosely typed JSON, as the simulator's wire, the platform's files and KServe v2 hold it.
-//! What is absent or of another type reads as "not told": a newer sender may say more, or less.
+//! Lenient access to JSON values, as used by the simulator's protocol, the platform's files and KServe v2.
+//!
+//! A key that is absent or has another type reads as "not stated", so that newer senders may add or leave
+//! out fields.
 use crate::interface::Micros;
 use miniserde::json::{self, Number, Object, Value};
 
-/// The whole text as one JSON value.
+/// Parses a text as one JSON value.
 pub fn parse(text: &str) -> Result<Value, String> {
     json::from_str(text).map_err(|_| "not JSON".to_owned())
 }
 
-/// The fields of a value that is an object.
+/// The value as an object, if it is one.
 pub fn as_object(value: &Value) -> Option<&Object> {
     match value {
         Value::Object(fields) => Some(fields),
@@ -16,12 +18,12 @@
     }
 }
 
-/// The object under a key.
+/// The object at a key.
 pub fn object<'a>(fields: &'a Object, key: &str) -> Option<&'a Object> {
     fields.get(key).and_then(as_object)
 }
 
-/// The array under a key; empty where there is none.
+/// The array at a key; empty if there is none.
 pub fn array<'a>(fields: &'a Object, key: &str) -> &'a [Value] {
     match fields.get(key) {
         Some(Value::Array(items)) => items,
@@ -29,7 +31,7 @@
     }
 }
 
-/// The text of a value that is one.
+/// The value as a string, if it is one.
 pub fn as_str(value: &Value) -> Option<&str> {
     match value {
         Value::String(text) => Some(text),
@@ -37,12 +39,12 @@
     }
 }
 
-/// The text under a key.
+/// The string at a key.
 pub fn string<'a>(fields: &'a Object, key: &str) -> Option<&'a str> {
     fields.get(key).and_then(as_str)
 }
 
-/// The figure of a value that is a number.
+/// The value as a number, if it is one.
 pub fn as_number(value: &Value) -> Option<f64> {
     match value {
         Value::Number(Number::U64(n)) => Some(*n as f64),
@@ -52,12 +54,12 @@
     }
 }
 
-/// The number under a key.
+/// The number at a key.
 pub fn number(fields: &Object, key: &str) -> Option<f64> {
     fields.get(key).and_then(as_number)
 }
 
-/// The whole number, 0 or more, under a key.
+/// The unsigned integer at a key.
 pub fn unsigned(fields: &Object, key: &str) -> Option<u64> {
     match fields.get(key) {
         Some(Value::Number(Number::U64(n))) => Some(*n),
@@ -65,22 +67,22 @@
     }
 }
 
-/// The mark under a key; absent is false.
+/// The boolean at a key; false if absent.
 pub fn boolean(fields: &Object, key: &str) -> bool {
     matches!(fields.get(key), Some(Value::Bool(true)))
 }
 
-/// Milliseconds under a key as microseconds; what is negative or no number counts as 0 (`as` saturates).
+/// The milliseconds at a key, as microseconds. A negative value or no number counts as 0 (`as` saturates).
 pub fn millis(fields: &Object, key: &str) -> Micros {
     (number(fields, key).unwrap_or(0.0) * 1000.0).round() as Micros
 }
 
-/// A small count under a key.
+/// The count at a key, limited to 65,536; 0 if there is no number.
 pub fn count(fields: &Object, key: &str) -> u32 {
     number(fields, key).unwrap_or(0.0).clamp(0.0, 65_536.0) as u32
 }
 
-/// Position of a name in a list; the list's length where it is not found.
+/// Index of a name in a list; the list's length if it is not found.
 pub fn index_of(names: &[String], name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
     names.iter().position(|n| n == name).unwrap_or(names.len())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! heronslip-policy decides, for one front end, which worker runs a call of a function that is loaded on demand,
-//! where copies are loaded and dropped, and what is retried, refused or failed.
+//! Decision logic of a front end for functions that workers load on demand: which worker runs a call, where
+//! copies of a function are loaded and unloaded, and which requests are retried, refused or failed.
 //!
-//! The front end owns sockets and clock. It feeds [`Event`]s to a [`Controller`] and carries out the
-//! [`Action`]s that come back, in order.
+//! This crate does no I/O. The front end owns the sockets and the clock: it passes [`Event`]s to a
+//! [`Controller`] and carries out the [`Action`]s that it returns, in order.
 //!
 //! ```
 //! use heronslip_policy::*;
@@ -12,7 +12,7 @@
 //!     classes: vec![ClassSettings {
 //!         retry_safety: RetrySafety::Safe, latency_target: 1_000_000, worth: 1.0, ..ClassSettings::default()
 //!     }],
-//!     tenants: vec![], over_share_worth: 1.0, machine_memory_mb: vec![8192.0], keep_alive: 8_000_000,
+//!     tenants: vec![], over_quota_worth: 1.0, machine_memory_mb: vec![8192.0], keep_alive: 8_000_000,
 //!     load_on_miss: false, may_command: true, command_timeout: 10_000_000,
 //!     load_window: 0, free_loads: 0.0, loads_per_request: 0.0, max_attempts: 3, may_cancel: true,
 //!     may_hedge: false, max_retry_after: 0, cold_capacity: 0.3, warm_up_time: 10_000_000,
@@ -28,7 +28,7 @@
 //!     id: 1, class: 0, tenant: None, function: 42, timeout: 3_000_000,
 //!     memory_mb: 300.0, lanes: 1, load_time: 0, retry: false,
 //! }, &mut actions);
-//! // A fresh front end knows no warm copy: it asks the worker first.
+//! // A new front end knows of no loaded copy, so it first sends the worker a copy query.
 //! assert!(actions.contains(&Action::Load { worker: "w1".into(), function: 42, count: 0 }));
 //! actions.clear();
 //! controller.handle(3_000, Event::Loaded {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,14 +1,14 @@
-//! The one reader of the settings' JSON, used by the adapter and by the program.
+//! Reads [`Settings`] from JSON, for the adapter and for the front end.
 use crate::interface::*;
 use crate::json::{array, as_number, as_object, as_str, boolean, count, millis, number, object, string};
 use miniserde::json::{Object, Value};
 
-/// The drain rule's grace where the settings do not state it.
+/// Drain grace if the settings do not state it, in microseconds.
 const DRAIN_GRACE: Micros = 1_000_000;
 
 impl Settings {
-    /// Reads the object that an instance is given: the simulator's `conf`, the platform's `settings`.
-    /// Unknown keys are skipped; what is absent counts as not stated.
+    /// Reads the simulator's `conf` object or the `settings` object of the platform's configuration.
+    /// Unknown keys are ignored; an absent key counts as not stated.
     pub fn from_json(conf: &Object) -> Settings {
         let empty = Object::new();
         let section = |key: &str| object(conf, key).unwrap_or(&empty);
@@ -35,7 +35,8 @@
             name: string(t, "name").unwrap_or_default().to_owned(),
             quota_per_s: number(t, "quota-per-s").unwrap_or(0.0),
         };
-        let advice = if boolean(limits, "retry-after") { millis(limits, "max-retry-after") } else { 0 };
+        let max_retry_after =
+            if boolean(limits, "retry-after") { millis(limits, "max-retry-after") } else { 0 };
         Settings {
             front_ends: count(conf, "balancers"),
             index: count(conf, "index"),
@@ -43,7 +44,7 @@
             tenants: items("tenants").map(tenant).collect(),
             zones: names(array(conf, "failure-domains")),
             machine_types: names(array(conf, "flavors")),
-            over_share_worth: number(conf, "over-share-worth").unwrap_or(0.0),
+            over_quota_worth: number(conf, "over-share-worth").unwrap_or(0.0),
             machine_memory_mb: array(family, "machine-mb")
                 .iter()
                 .map(|m| as_number(m).unwrap_or(0.0))
@@ -58,7 +59,7 @@
             max_attempts: count(limits, "max-attempts"),
             may_cancel: boolean(limits, "may-cancel"),
             may_hedge: boolean(limits, "second-copies"),
-            max_retry_after: advice,
+            max_retry_after,
             probe_cost: number(section("deductions"), "probe").unwrap_or(0.0),
             connect_timeout: millis(limits, "connect-timeout"),
             connection_idle_timeout: millis(limits, "conn-idle"),
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Position of a class by its name; the list's length where it is not known.
+    /// Index of a class by its name; the number of classes if it is unknown.
     pub fn class_index(&self, name: &str) -> usize {
         self.classes.iter().position(|c| c.name == name).unwrap_or(self.classes.len())
     }
 
-    /// Position of a tenant by its name.
+    /// Index of a tenant by its name.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|t| t.name == name)
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -29,7 +29,7 @@
             class(RetrySafety::Unsafe, DedupScope::All),
         ],
         tenants: vec![],
-        over_share_worth: 0.2,
+        over_quota_worth: 0.2,
         machine_memory_mb: vec![4000.0],
         keep_alive: 8 * SEC,
         load_on_miss: false,
