--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,40 +1,59 @@
-//! Admission control: which requests are refused because what is here already takes too long.
+//! Admission control: which requests are refused because requests already take too long.
 use crate::control::SEC;
 use crate::state::*;
 
-/// Requests out at each worker, over all front ends, below which nothing is refused: about one a core.
-pub(crate) const CROWD: f64 = 4.0;
-/// Multiples of the mean aim beyond which the time from send to answer refuses: traffic beyond a share, the
-/// class that earns least a unit of time, the one that earns most.
-const REFUSE: (f64, f64, f64) = (0.6, 0.8, 1.3);
+/// Mean number of requests at a worker, over all front ends, below which none is refused: about one per core.
+pub(crate) const MIN_INFLIGHT_TO_REFUSE: f64 = 4.0;
+/// Multiples of the mean latency target. Requests are refused when the time from send to response exceeds them.
+/// This one holds for traffic beyond a tenant's quota.
+const OVER_QUOTA_LIMIT: f64 = 0.6;
+/// The same for the class that earns the least worth per unit of service time.
+const LEAST_WORTH_LIMIT: f64 = 0.8;
+/// The same for the class that earns the most.
+const MOST_WORTH_LIMIT: f64 = 1.3;
+/// A class ranks above another if it earns more than this multiple of its worth per unit of service time.
+const RANK_RATIO: f64 = 1.2;
+/// Periodic timers after the start before requests are refused: until then the pace of the fleet is not known.
+const WARM_UP_TICKS: u32 = 100;
 
 impl Controller {
-    /// Guards against queueing to death: what is here now takes longer than the aims at the pace of late.
-    /// What earns least goes first: traffic beyond a tenant's share, then the class of least worth a unit of
-    /// time. Not acted on while little is out or the pace is not known yet.
-    pub(crate) fn overloaded(&self, class: usize, tenant: Option<usize>, left: f64, service: f64) -> bool {
-        // What workers report tells of all front ends; else all are taken to have as much out as we have.
-        let held = self.backlog * f64::from(self.set.front_ends.max(1)) / self.ready.len().max(1) as f64;
-        if if self.reports { self.mean_held } else { held } < CROWD || self.ticks < 100 {
+    /// Whether a request is to be refused because at the recent pace the requests in flight take longer than the
+    /// latency targets. This keeps queues from growing without bound. The least valuable requests are refused first:
+    /// those beyond a tenant's quota, then those of the class with the least worth per unit of service time. Nothing
+    /// is refused while few requests are in flight or the pace is not known yet.
+    pub(crate) fn overloaded(
+        &self, class: usize, tenant: Option<usize>, timeout: f64, service_time: f64,
+    ) -> bool {
+        // Workers report the requests of all front ends. Without reports, every front end is assumed to have as many
+        // in flight as this one.
+        let estimate =
+            self.backlog * f64::from(self.settings.front_ends.max(1)) / self.ready.len().max(1) as f64;
+        let inflight = if self.load_reported { self.mean_inflight } else { estimate };
+        if inflight < MIN_INFLIGHT_TO_REFUSE || self.ticks < WARM_UP_TICKS {
             return false;
         }
         let wait = self.backlog / self.served_rate.max(0.1) * SEC as f64;
-        let over = tenant.is_some_and(|t| self.over_share(t));
-        let told = &self.set.classes[..self.set.classes.len() - 1];
-        let density = |c: usize| self.set.classes[c].worth / self.class_service[c];
-        let worse = (0..told.len()).filter(|&c| density(c) < density(class) / 1.2).count();
-        let rank = worse as f64 / (told.len() as f64 - 1.0).max(1.0);
-        let bound = if over { REFUSE.0 } else { REFUSE.1 + (REFUSE.2 - REFUSE.1) * rank };
-        left < service
-            || wait
-                > bound * told.iter().map(|c| c.latency_target as f64).sum::<f64>() / told.len().max(1) as f64
+        let over_quota = tenant.is_some_and(|t| self.over_quota(t));
+        let classes = &self.settings.classes[..self.settings.classes.len() - 1];
+        let worth_rate = |c: usize| self.settings.classes[c].worth / self.class_service_time[c];
+        let worse = (0..classes.len()).filter(|&c| worth_rate(c) < worth_rate(class) / RANK_RATIO).count();
+        let rank = worse as f64 / (classes.len() as f64 - 1.0).max(1.0);
+        let limit = if over_quota {
+            OVER_QUOTA_LIMIT
+        } else {
+            LEAST_WORTH_LIMIT + (MOST_WORTH_LIMIT - LEAST_WORTH_LIMIT) * rank
+        };
+        let total_target = classes.iter().map(|c| c.latency_target as f64).sum::<f64>();
+        timeout < service_time || wait > limit * total_target / classes.len().max(1) as f64
     }
 
-    /// Whether a tenant has more of our traffic than its part of the shares, by more than chance would give:
-    /// front ends carry uneven traffic, so its rate here tells nothing of its rate at all of them.
-    pub(crate) fn over_share(&self, t: usize) -> bool {
-        let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s.max(0.0)).sum();
-        let (part, all) = (self.set.tenants[t].quota_per_s / quotas, self.tenant_rate.iter().sum::<f64>());
-        part > 0.0 && self.tenant_rate[t] > part * all + 2.0 * (all * part * (1.0 - part)).sqrt()
+    /// Whether a tenant sends more of our traffic than its share of all quotas, by more than chance explains. Its
+    /// rate here is not compared with its quota: traffic is spread unevenly, so the rate at one front end says
+    /// nothing about the rate at all of them.
+    pub(crate) fn over_quota(&self, tenant: usize) -> bool {
+        let quotas: f64 = self.settings.tenants.iter().map(|t| t.quota_per_s.max(0.0)).sum();
+        let share = self.settings.tenants[tenant].quota_per_s / quotas;
+        let all = self.tenant_requests.iter().sum::<f64>();
+        share > 0.0 && self.tenant_requests[tenant] > share * all + 2.0 * (all * share * (1.0 - share)).sqrt()
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,259 +1,290 @@
-//! The controller's frame: events come in, the modules beside this one decide, actions go out.
+//! Entry point of the decision logic: [`Controller::handle`] takes events, the other modules decide, and actions are
+//! returned.
 //!
-//! Ordinary path, after the paper on adaptive replication in loss networks: a request goes to a uniformly
-//! random worker among those believed warm with a free lane ([`crate::placement`]). Finding none is a loss;
-//! losses, real or virtual, add copies where the least recently lost function lies idle
-//! ([`crate::replication`]). All else is a guard, and says so: admission, slow start, health, retries,
-//! readiness.
-use crate::admission::CROWD;
-use crate::health::{TRIALS, WHOLE};
+//! The main path follows the paper on adaptive replication in loss networks. A request goes to a uniformly random
+//! worker among those that are assumed to have the function loaded with a free lane: see `placement`. If there is
+//! none, that is a loss. Losses, real or virtual, add copies where the least recently lost function is idle: see
+//! `replication`. Everything else protects this path: admission, slow start, health, retries and readiness.
+use crate::admission::MIN_INFLIGHT_TO_REFUSE;
+use crate::fleet_stats::MAX_RATE_SPAN;
+use crate::health::{AttemptResult, ALL_CALLS, TRIAL_INTERVAL};
 use crate::interface::*;
-use crate::replication::draw;
-use crate::replication::{HOLDS, LOAD_CAP, QUESTIONS, SPENT};
+use crate::replication::{
+    rendezvous_score, MAX_LOAD_CAP, MAX_LOAD_COST, MAX_LOAD_TOKENS, MAX_QUERY_COST, MAX_QUERY_TOKENS,
+    QUERY_TOKENS_PER_CALL,
+};
 use crate::state::*;
-use crate::survey::SPANS;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
+/// A millisecond.
 pub(crate) const MS: Micros = 1_000;
+/// A second.
 pub(crate) const SEC: Micros = 1_000_000;
-pub(crate) const TICK: Micros = 20 * MS; // housekeeping while requests are open: well under any aim
-const SURVEY: Micros = 100 * MS; // period of what walks the fleet, and of idle housekeeping
-pub(crate) const END_MARGIN: Micros = 8 * MS; // the final answer comes this long before the client leaves
-/// Longest request life kept: absurd figures cannot overflow the clock.
-pub(crate) const LONGEST: Micros = 3_600 * SEC;
-pub(crate) const DEFAULT_SPAN: Micros = SEC; // keep-alive, load time and aim where none is told
-const STOOD_STILL: Micros = 2 * SURVEY; // no event for longer, timers included: this front end stood still
-const RETRY_SHARE: f64 = 0.15; // further attempts earned by a request: bounds what they add to overload
+/// Period of the timer while requests are open, in microseconds: well below any latency target.
+pub(crate) const TICK: Micros = 20 * MS;
+/// Period of the fleet statistics, which visit every worker, and of the timer while no request is open, in
+/// microseconds.
+const STATS_PERIOD: Micros = 100 * MS;
+/// The final response is given this long before the client gives up, in microseconds.
+pub(crate) const RESPONSE_MARGIN: Micros = 8 * MS;
+/// Longest time accepted from settings and requests, in microseconds, so that times cannot overflow.
+pub(crate) const MAX_TIME: Micros = 3_600 * SEC;
+/// Load time and latency target if none is stated, and a fifth of the keep-alive, in microseconds.
+pub(crate) const DEFAULT_TIME: Micros = SEC;
+/// Without an event for longer, timers included, this front end has stalled; in microseconds.
+const STALL_THRESHOLD: Micros = 2 * STATS_PERIOD;
+/// Tokens for further attempts that a request earns: bounds what retries add to an overload.
+const RETRY_TOKENS_PER_REQUEST: f64 = 0.15;
+/// Tokens for further attempts at the start.
+const INITIAL_RETRY_TOKENS: f64 = 5.0;
+/// Most tokens for further attempts that are saved up.
+const MAX_RETRY_TOKENS: f64 = 20.0;
+/// Most lanes of a copy that are used.
+const MAX_LANES: u32 = 1024;
+/// Token of the periodic timer. The timer of a request has the token `id << 1 | 1`.
+const PERIODIC_TIMER: u64 = 0;
 
 impl Controller {
-    /// A front end that knows nothing yet; `seed` starts its random numbers.
+    /// Creates the decision logic of a front end that knows nothing yet; `seed` seeds its random numbers.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // An unknown class is taken for an unsafe one without an aim or worth; absurd figures are clamped.
+        // Requests of an unknown class use an additional class: unsafe, without a latency target or worth.
         settings.classes.push(ClassSettings::default());
-        for c in &mut settings.classes {
-            c.latency_target = if c.latency_target > 0 { c.latency_target.min(LONGEST) } else { LONGEST };
-            c.dedup_window = c.dedup_window.min(LONGEST);
+        for class in &mut settings.classes {
+            class.latency_target =
+                if class.latency_target > 0 { class.latency_target.min(MAX_TIME) } else { MAX_TIME };
+            class.dedup_window = class.dedup_window.min(MAX_TIME);
         }
         settings.max_attempts = settings.max_attempts.wrapping_sub(1).saturating_add(1); // 0: no limit
-        let spans = [&mut settings.load_window, &mut settings.overload_window, &mut settings.keep_alive];
-        spans.into_iter().for_each(|s| *s = (*s).min(LONGEST));
+        let times = [&mut settings.load_window, &mut settings.overload_window, &mut settings.keep_alive];
+        times.into_iter().for_each(|time| *time = (*time).min(MAX_TIME));
+        let initial_service_time =
+            |class: &ClassSettings| class.latency_target.min(DEFAULT_TIME) as f64 / 4.0;
         Controller {
             rng: Some(Pcg32::seed_from_u64(seed)),
-            class_service: settings
-                .classes
-                .iter()
-                .map(|c| c.latency_target.min(DEFAULT_SPAN) as f64 / 4.0)
-                .collect(),
-            tenant_rate: vec![0.0; settings.tenants.len()],
-            mean_held: CROWD,
-            load_cap: LOAD_CAP.1 / 2.0,
-            trial_gap: TRIALS.0,
-            retries: 5.0,
-            questions: if settings.probe_cost > SPENT.1 { 0.0 } else { QUESTIONS.1 },
-            holds: HOLDS,
-            set: settings,
+            class_service_time: settings.classes.iter().map(initial_service_time).collect(),
+            tenant_requests: vec![0.0; settings.tenants.len()],
+            mean_inflight: MIN_INFLIGHT_TO_REFUSE,
+            load_cap: MAX_LOAD_CAP / 2.0,
+            trial_interval: TRIAL_INTERVAL,
+            retry_tokens: INITIAL_RETRY_TOKENS,
+            query_tokens: if settings.probe_cost > MAX_QUERY_COST { 0.0 } else { MAX_QUERY_TOKENS },
+            load_tokens: MAX_LOAD_TOKENS,
+            settings,
             ..Controller::default()
         }
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done to `out`.
+    /// Handles one event at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.ticks == 0 {
             self.ticks = 1;
-            out.push(Action::Timer { delay: TICK, token: 0 });
-            out.extend(self.set.must_subscribe.then_some(Action::Subscribe));
+            out.push(Action::Timer { delay: TICK, token: PERIODIC_TIMER });
+            out.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
         }
         let now = now.min(u64::MAX / 4);
-        if now > self.last_event + STOOD_STILL {
-            self.woke = now;
-            self.stood_still(self.last_event);
+        if now > self.last_event_at + STALL_THRESHOLD {
+            self.resumed_at = now;
+            self.on_stall(self.last_event_at);
         }
-        self.last_event = now;
+        self.last_event_at = now;
         match event {
-            Event::WorkerList { full, entries } => self.members(now, full, entries, out),
-            Event::Discovery { state } => self.discovery(now, state),
-            Event::Probed { .. } => self.probed(now, event, out),
+            Event::WorkerList { full, entries } => self.on_worker_list(now, full, entries, out),
+            Event::Discovery { state } => self.on_discovery(now, state),
+            Event::Probed { .. } => self.on_probed(now, event, out),
             Event::Request { id, .. } if self.requests.contains_key(&id) => {}
-            Event::Request { .. } => self.request(now, event, out),
-            Event::Outcome { .. } => self.outcome(now, event, out),
-            Event::Withdrawn { id } => self.close(id, out),
-            Event::Timer { token: 0 } => {
-                self.tick(now, out);
-                let delay = if self.requests.is_empty() { SURVEY } else { TICK };
-                out.push(Action::Timer { delay, token: 0 });
+            Event::Request { .. } => self.on_request(now, event, out),
+            Event::Outcome { .. } => self.on_outcome(now, event, out),
+            Event::Withdrawn { id } => self.close_request(id, out),
+            Event::Timer { token: PERIODIC_TIMER } => {
+                self.on_tick(now, out);
+                let delay = if self.requests.is_empty() { STATS_PERIOD } else { TICK };
+                out.push(Action::Timer { delay, token: PERIODIC_TIMER });
             }
-            Event::Timer { token } if self.requests.get(&(token >> 1)).is_none_or(|r| now < r.ends) => {}
+            Event::Timer { token } if self.requests.get(&(token >> 1)).is_none_or(|r| now < r.deadline) => {}
             Event::Timer { token } => self.finish(token >> 1, out),
             Event::Loaded { worker, function, count, outcome, elapsed } => {
                 let known = (self.worker_ids.get(&worker), self.function_ids.get(&function));
                 if let (Some(&w), Some(&f)) = known {
-                    self.loaded(now, w, f, (count, outcome, elapsed), out);
+                    self.on_loaded(now, w, f, (count, outcome, elapsed), out);
                 }
             }
         }
     }
 
-    pub(crate) fn members(
+    /// Handles an update of the worker list.
+    pub(crate) fn on_worker_list(
         &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, out: &mut Vec<Action>,
     ) {
-        let (started, emptied) = self.listed(now, full, entries, draw);
+        let (started, emptied) = self.apply_worker_list(now, full, entries, rendezvous_score);
         for w in started {
-            // A new process: past health says nothing, and it holds no copy.
-            let draw = self.draw();
+            // A new process: it has no copies, and its earlier slowness and reports no longer hold.
+            let threshold = self.random_fraction();
             let worker = &mut self.workers[w];
-            (worker.dead, worker.slow, worker.health, worker.budget) = (false, false, 1.0, 0.0);
-            worker.draw = draw;
+            (worker.disconnected, worker.slow) = (false, false);
+            (worker.slowness, worker.cold_budget) = (1.0, 0.0);
+            worker.cold_threshold = threshold;
             worker.report = None;
         }
-        emptied.into_iter().for_each(|w| self.void(w));
-        self.retry_held(None, now, out);
+        emptied.into_iter().for_each(|w| self.forget_copies(w));
+        self.place_queued(None, now, out);
     }
 
-    pub(crate) fn request(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    /// Handles a client's request.
+    pub(crate) fn on_request(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let Event::Request { id, class, tenant, function, timeout, memory_mb, lanes, load_time, retry } =
             event
         else {
             return;
         };
-        let class = class.min(self.set.classes.len() - 1);
-        let sane = |v: f64, other: f64| if v.is_finite() && v > 0.0 { v } else { other };
-        let (f, new) = self.slot(function);
+        let class = class.min(self.settings.classes.len() - 1);
+        let positive_or =
+            |value: f64, other: f64| if value.is_finite() && value > 0.0 { value } else { other };
+        let (f, new) = self.function_slot(function);
         if new {
-            let (service, load_time) = (self.class_service[class], load_time.min(LONGEST) as f64);
-            self.functions[f] = Function { id: function, service, load_time, ..Function::default() };
+            let (service_time, load_time) = (self.class_service_time[class], load_time.min(MAX_TIME) as f64);
+            self.functions[f] = Function { id: function, service_time, load_time, ..Function::default() };
         }
-        self.latest = f;
-        let told = &mut self.functions[f];
-        (told.memory, told.lanes) = (sane(memory_mb, told.memory), lanes.clamp(1, 1024));
-        let past = now.saturating_sub(told.last_call) as f64;
-        told.calls = told.calls * (-past / SPANS.1 as f64).exp() + 1.0;
-        (told.class, told.last_call) = (class, now);
-        self.keep_to(f, self.part(f).0, draw);
-        let life = self.belief(f);
-        for c in self.functions[f].at.values_mut().filter(|c| c.count > 0) {
-            c.expires = c.expires.max(c.seen + life);
+        self.last_called = f;
+        let known = &mut self.functions[f];
+        (known.memory_mb, known.lanes) = (positive_or(memory_mb, known.memory_mb), lanes.clamp(1, MAX_LANES));
+        let past = now.saturating_sub(known.last_call) as f64;
+        known.recent_calls = known.recent_calls * (-past / MAX_RATE_SPAN as f64).exp() + 1.0;
+        (known.class, known.last_call) = (class, now);
+        self.set_skipped(f, self.our_share(f).0, rendezvous_score);
+        let lifetime = self.copy_lifetime(f);
+        for copy in self.functions[f].copies.values_mut().filter(|copy| copy.count > 0) {
+            copy.expires_at = copy.expires_at.max(copy.confirmed_at + lifetime);
         }
-        self.taken.push_back(now);
-        self.retries = (self.retries + RETRY_SHARE).min(20.0);
-        let price = self.set.probe_cost.max(0.0);
-        let earned = if price > SPENT.1 { 0.0 } else { QUESTIONS.0 };
-        self.questions = (self.questions + earned).min(QUESTIONS.1);
-        self.holds = (self.holds + (SPENT.0 / price).min(HOLDS)).min(HOLDS);
-        let (left, ends) = (timeout.min(LONGEST), now + timeout.min(LONGEST).saturating_sub(END_MARGIN));
-        let tenant = tenant.filter(|&t| t < self.tenant_rate.len());
-        tenant.into_iter().for_each(|t| self.tenant_rate[t] += 1.0);
-        let (lost, done, errors, probing, attempts) = (false, false, 0, None, Vec::new());
-        let r = Request {
+        self.request_times.push_back(now);
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
+        let cost = self.settings.probe_cost.max(0.0);
+        let query_tokens = if cost > MAX_QUERY_COST { 0.0 } else { QUERY_TOKENS_PER_CALL };
+        self.query_tokens = (self.query_tokens + query_tokens).min(MAX_QUERY_TOKENS);
+        let load_tokens = (MAX_LOAD_COST / cost).min(MAX_LOAD_TOKENS);
+        self.load_tokens = (self.load_tokens + load_tokens).min(MAX_LOAD_TOKENS);
+        let timeout = timeout.min(MAX_TIME);
+        let deadline = now + timeout.saturating_sub(RESPONSE_MARGIN);
+        let tenant = tenant.filter(|&t| t < self.tenant_requests.len());
+        tenant.into_iter().for_each(|t| self.tenant_requests[t] += 1.0);
+        let request = Request {
             function: f,
             class,
             tenant,
-            arrived: now,
-            ends,
+            arrived_at: now,
+            deadline,
             retry,
-            lost,
-            done,
-            errors,
-            probing,
-            attempts,
+            lost: false,
+            done: false,
+            errors: 0,
+            probing: None,
+            attempts: Vec::new(),
         };
-        self.requests.insert(id, r);
-        let service = self.functions[f].service;
-        if left <= END_MARGIN || self.overloaded(class, tenant, left as f64, service) {
+        self.requests.insert(id, request);
+        let service_time = self.functions[f].service_time;
+        if timeout <= RESPONSE_MARGIN || self.overloaded(class, tenant, timeout as f64, service_time) {
             return self.finish(id, out);
         }
-        // Rule 1: whatever else happens, this timer ends the request in time.
-        out.push(Action::Timer { delay: ends - now, token: id << 1 | 1 });
+        // Whatever else happens, this timer ends the request in time.
+        out.push(Action::Timer { delay: deadline - now, token: id << 1 | 1 });
         if self.virtual_loss(f, now) {
-            self.functions[f].last_lost = now;
+            self.functions[f].last_loss = now;
             self.add_copy(f, now, None, out);
         }
         self.place(now, id, out);
     }
 
-    /// The one final answer: refused where nothing can have run, else failed. What is out is called off.
+    /// Gives the final response: refused if no attempt can have run, else failed. Attempts in flight are cancelled.
     pub(crate) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
-        let ran = r.attempts.iter().any(|a| a.may_have_run);
-        let retry_after = self.set.max_retry_after / 2;
-        out.push(if ran { Action::Fail { id } } else { Action::Refuse { id, retry_after } });
-        self.close(id, out);
+        let Some(request) = self.requests.get(&id).filter(|r| !r.done) else { return };
+        let may_have_run = request.attempts.iter().any(|a| a.may_have_run);
+        let retry_after = self.settings.max_retry_after / 2;
+        out.push(if may_have_run { Action::Fail { id } } else { Action::Refuse { id, retry_after } });
+        self.close_request(id, out);
     }
 
-    pub(crate) fn outcome(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    /// Handles the end of an attempt.
+    pub(crate) fn on_outcome(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let Event::Outcome { id, attempt, outcome, elapsed, closed, warm, function_inflight, inflight } =
             event
         else {
             return;
         };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.open) else { return };
-        a.open = false;
-        let never =
+        let number = attempt;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.open) else { return };
+        attempt.open = false;
+        let did_not_run =
             matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
-        a.may_have_run = !never;
-        r.errors += u32::from(outcome == Outcome::Error);
-        let (w, f, a, pair) = (a.worker, r.function, a.clone(), (r.tenant, r.class));
-        self.workers[w].out.remove(&(a.sent, id, attempt));
-        let fresh_process = a.sent < self.workers[w].entry.started_at;
-        let until = now + self.belief(f);
-        let c = self.functions[f].at.get_mut(&w).expect("sent there");
-        c.ours -= 1;
-        c.cold_sends -= u32::from(a.cold);
-        self.loads_out -= u32::from(a.cold);
-        let mut proof = None;
-        if self.workers[w].ready() && !fresh_process {
+        attempt.may_have_run = !did_not_run;
+        request.errors += u32::from(outcome == Outcome::Error);
+        let (w, f, kind) = (attempt.worker, request.function, (request.tenant, request.class));
+        let attempt = attempt.clone();
+        self.workers[w].attempts.remove(&(attempt.sent_at, id, number));
+        let before_restart = attempt.sent_at < self.workers[w].entry.started_at;
+        let until = now + self.copy_lifetime(f);
+        let copy = self.functions[f].copies.get_mut(&w).expect("a record of every worker with an attempt");
+        copy.our_inflight -= 1;
+        copy.cold_sends -= u32::from(attempt.cold);
+        self.loads_in_flight -= u32::from(attempt.cold);
+        let mut served = false;
+        if self.workers[w].ready() && !before_restart {
             match outcome {
                 Outcome::Ok => {
-                    proof = Some(a.sent);
-                    self.workers[w].blocks.retain(|&key, _| key != pair && key != WHOLE);
-                    (c.count, c.expires, c.seen) = (c.count.max(1), c.expires.max(until), now);
+                    served = true;
+                    self.workers[w].blocks.retain(|&key, _| key != kind && key != ALL_CALLS);
+                    copy.count = copy.count.max(1);
+                    (copy.expires_at, copy.confirmed_at) = (copy.expires_at.max(until), now);
                 }
-                Outcome::Miss => c.count = 0,
+                Outcome::Miss => copy.count = 0,
                 _ => {}
             }
-            if let Some(n) = function_inflight {
-                c.others = (now, n.saturating_sub(a.ours_then.saturating_sub(1)));
+            if let Some(inflight) = function_inflight {
+                let ours = attempt.our_inflight_then.saturating_sub(1);
+                copy.others_inflight = OthersInflight { at: now, count: inflight.saturating_sub(ours) };
             }
         }
-        if let Some(sent) = proof {
-            self.takes_work(w, sent);
+        if served {
+            self.confirm_ready(w, attempt.sent_at);
         }
         if outcome == Outcome::Rejected {
-            self.workers[w].lease.refute(a.sent);
-            self.turned_away(w, pair, now);
+            self.workers[w].lease.refute(attempt.sent_at);
+            self.record_rejection(w, kind, now);
         }
-        self.report(w, now, inflight);
-        if !fresh_process {
-            let over = self.requests.get(&id).is_none_or(|r| r.done);
-            self.judge(now, f, &a, (outcome, elapsed, over), a.cold || warm == Some(false));
+        self.record_report(w, now, inflight);
+        if !before_restart {
+            let request_done = self.requests.get(&id).is_none_or(|r| r.done);
+            let loaded_for_it = attempt.cold || warm == Some(false);
+            let result = AttemptResult { outcome, elapsed, request_done, loaded_for_it };
+            self.update_slowness(now, f, &attempt, result);
         }
         self.served += f64::from(u8::from(outcome == Outcome::Ok));
-        self.functions[f].proven |= outcome == Outcome::Ok;
+        self.functions[f].ever_served |= outcome == Outcome::Ok;
         match closed || self.requests[&id].done {
-            true => self.close(id, out),
+            true => self.close_request(id, out),
             false => self.place(now, id, out),
         }
-        self.retry_held(Some(f), now, out);
+        self.place_queued(Some(f), now, out);
     }
 
-    /// A load report of a worker, if it is one.
-    pub(crate) fn report(&mut self, w: usize, now: Micros, inflight: Option<f64>) {
-        if let Some(held) = inflight.filter(|h| h.is_finite()) {
-            self.workers[w].report = Some((now, held.max(0.0), self.workers[w].out.len()));
-            self.reports = true;
+    /// Records a worker's load report, if there is one.
+    pub(crate) fn record_report(&mut self, w: usize, now: Micros, inflight: Option<f64>) {
+        if let Some(inflight) = inflight.filter(|count| count.is_finite()) {
+            let our_inflight = self.workers[w].attempts.len();
+            self.workers[w].report = Some(LoadReport { at: now, inflight: inflight.max(0.0), our_inflight });
+            self.load_reported = true;
         }
     }
 
-    /// Housekeeping: further attempts and held requests; now and then the figures of the fleet.
-    pub(crate) fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Handles the periodic timer: further attempts and queued requests, and from time to time the fleet statistics.
+    pub(crate) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.ticks = self.ticks.saturating_add(1);
-        if now >= self.surveyed + SURVEY {
-            let past = if self.surveyed == 0 { SURVEY } else { now - self.surveyed };
-            self.surveyed = now;
-            self.survey(now, past, out);
+        if now >= self.stats_at + STATS_PERIOD {
+            let past = if self.stats_at == 0 { STATS_PERIOD } else { now - self.stats_at };
+            self.stats_at = now;
+            self.refresh_fleet_stats(now, past, out);
         }
-        self.second_attempts(now, out);
-        self.retry_held(None, now, out);
+        self.retry_overdue(now, out);
+        self.place_queued(None, now, out);
     }
 }
--- a/src/footprint.rs
+++ b/src/footprint.rs
@@ -1,6 +1,6 @@
 //! How much a controller keeps, for those who plan for larger fleets: counts of its records, and their bytes.
 use crate::interface::RequestId;
-use crate::state::{Attempt, Controller, Copy, Function, Preferred, Request, Worker};
+use crate::state::{Attempt, Controller, CopyRecord, Function, PreferredWorker, Request, Worker};
 use std::mem::size_of;
 
 /// Records that a [`Controller`] keeps. Counts are exact; [`Footprint::bytes`] is worked out from them.
@@ -25,8 +25,8 @@
         let index = size_of::<usize>();
         self.workers * (size_of::<Worker>() + name + 4 * index)
             + self.functions * (size_of::<Function>() + 3 * index)
-            + self.copies * (size_of::<Copy>() + 3 * index)
-            + self.preferences * size_of::<Preferred>()
+            + self.copies * (size_of::<CopyRecord>() + 3 * index)
+            + self.preferences * size_of::<PreferredWorker>()
             + self.requests * (size_of::<RequestId>() + size_of::<Request>() + size_of::<Attempt>())
     }
 }
@@ -38,8 +38,8 @@
         Footprint {
             workers: self.workers.len(),
             functions: self.function_ids.len(),
-            copies: functions().map(|f| f.at.len()).sum(),
-            preferences: functions().map(|f| f.nearest.len()).sum(),
+            copies: functions().map(|f| f.copies.len()).sum(),
+            preferences: functions().map(|f| f.preferred.len()).sum(),
             requests: self.requests.len(),
         }
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,147 +1,182 @@
-//! Worker health: a running figure of how each does, suspects and their trials, and workers that turn calls
-//! away.
+//! Worker health: how slow each worker is compared with what was expected of it, trial requests to suspects, and
+//! workers that reject calls.
 use crate::control::{SEC, TICK};
+use crate::fleet_stats::MIN_REPORT_DECAY;
 use crate::interface::*;
 use crate::state::*;
-use crate::survey::REPORT_FADE;
 
-pub(crate) const ALPHA: f64 = 0.1; // weight of a new sample in running means: about the last ten count
-pub(crate) const BAD: f64 = 5.0; // health sample of a failed attempt, and the most one slow answer counts
-pub(crate) const SLOW: f64 = 2.5; // slow at this multiple of the median's figure: past the spread of kinds
-/// Without news health returns to 1 with this time constant.
-pub(crate) const HEALTH_FADE: f64 = 6.0 * SEC as f64;
-/// An attempt out for this multiple of its expected time with nothing heard.
-pub(crate) const SILENT: f64 = 9.0;
-/// Trial calls and questions to a suspect keep this distance, and all suspects together get this part of our
-/// calls: where many front ends see a worker seldom, each would else lose calls to it for as long as it ails.
-pub(crate) const TRIALS: (Micros, f64) = (SEC, 0.02);
-/// A worker that is full is left for this long, twice as long each time.
-pub(crate) const FULL_WAIT: Micros = SEC / 5;
-/// In place of tenant and class: all calls.
-pub(crate) const WHOLE: (Option<usize>, usize) = (None, usize::MAX);
-/// What a worker with room turns away stays away so long, first and at most: calls come round within it.
-const AWAY: (Micros, Micros) = (5 * SEC, 20 * SEC);
+/// Weight of a new sample in running means: about the last ten samples count.
+pub(crate) const MEAN_WEIGHT: f64 = 0.1;
+/// Slowness sample of a failed attempt, and the largest sample of a slow response.
+pub(crate) const FAILURE_SLOWNESS: f64 = 5.0;
+/// A worker is slow above this multiple of the median slowness: more than machine types differ.
+pub(crate) const SLOW_RATIO: f64 = 2.5;
+/// Without new samples, slowness returns to 1 with this time constant, in microseconds.
+pub(crate) const SLOWNESS_DECAY: f64 = 6.0 * SEC as f64;
+/// An attempt without a response is overdue after this multiple of its expected time.
+pub(crate) const OVERDUE_RATIO: f64 = 9.0;
+/// Shortest interval between trial requests or queries to one suspect, in microseconds.
+pub(crate) const TRIAL_INTERVAL: Micros = SEC;
+/// Fraction of our calls that all suspects together get as trial requests. With many front ends that each see a
+/// worker seldom, every one of them would otherwise lose calls to it for as long as it is unhealthy.
+pub(crate) const TRIAL_SHARE: f64 = 0.02;
+/// First backoff from a worker that is full, in microseconds; doubled each time.
+pub(crate) const FULL_BACKOFF: Micros = SEC / 5;
+/// Key of a block that applies to all calls.
+pub(crate) const ALL_CALLS: CallKind = (None, usize::MAX);
+/// Shortest block of a tenant and class that a worker with free capacity rejects, in microseconds. Also the longest
+/// block of all calls. Within it calls of the same kind come round to the worker again.
+const MIN_BLOCK: Micros = 5 * SEC;
+/// Longest block of a tenant and class, in microseconds.
+const MAX_BLOCK: Micros = 20 * SEC;
+/// Bound on the factor by which the weight of a slowness sample grows where calls to a worker are rare.
+const MAX_RARE_CALL_FACTOR: f64 = 2.5;
+
+/// How an attempt ended, for [`Controller::update_slowness`].
+pub(crate) struct AttemptResult {
+    pub(crate) outcome: Outcome,
+    /// Time since it was sent.
+    pub(crate) elapsed: Micros,
+    /// The final response to its request had already been given.
+    pub(crate) request_done: bool,
+    /// The function was loaded for it, so its time is not a service time.
+    pub(crate) loaded_for_it: bool,
+}
 
 impl Controller {
-    /// Lets a worker's health return to 1, and judges it anew against the median's; silence counts.
-    pub(crate) fn refresh_health(&mut self, w: usize, past: Micros, now: Micros) {
+    /// Lets a worker's slowness return to 1 over the span `past`, raises it if the oldest attempt is overdue, and
+    /// compares it with the median.
+    pub(crate) fn refresh_slowness(&mut self, w: usize, past: Micros, now: Micros) {
         let worker = &mut self.workers[w];
-        // A suspect is cleared by its trials: without one, only after twice the time in which one is due.
-        let fade = if worker.slow { 2.0 * self.trial_gap as f64 } else { 0.0 };
-        worker.health +=
-            (past as f64 / HEALTH_FADE.max(self.fade).max(fade)).min(1.0) * (1.0 - worker.health);
-        worker.slow = worker.health > SLOW * self.median_health;
-        let Some(&(sent, id, n)) = worker.out.first() else { return };
-        let patience = self.requests.get(&id).map_or(0.0, |r| r.attempts[n].patience);
-        let quiet = now.saturating_sub(sent.max(worker.heard).max(self.woke)) as f64;
-        // Only answers to calls count: a stalled worker may still answer orders.
-        if quiet > patience {
-            worker.health = worker.health.max(BAD * self.median_health);
+        // Trial requests clear a suspect. Without one it recovers only after twice the interval between trials.
+        let trial_decay = if worker.slow { 2.0 * self.trial_interval as f64 } else { 0.0 };
+        worker.slowness += (past as f64 / SLOWNESS_DECAY.max(self.report_decay).max(trial_decay)).min(1.0)
+            * (1.0 - worker.slowness);
+        worker.slow = worker.slowness > SLOW_RATIO * self.median_slowness;
+        let Some(&(sent_at, id, n)) = worker.attempts.first() else { return };
+        let overdue_after = self.requests.get(&id).map_or(0.0, |r| r.attempts[n].overdue_after);
+        let silent = now.saturating_sub(sent_at.max(worker.last_response).max(self.resumed_at)) as f64;
+        // Only responses to calls count: a stalled worker may still reply to commands.
+        if silent > overdue_after {
+            worker.slowness = worker.slowness.max(FAILURE_SLOWNESS * self.median_slowness);
         }
     }
 
-    /// A refused or lost connection: the worker leaves the choice until it answers; its copies stay believed.
-    pub(crate) fn died(&mut self, w: usize, now: Micros) {
-        self.workers[w].dead = true;
-        self.workers[w].next_trial = now + TRIALS.0 / 4;
+    /// A connection was refused or lost. The worker is not chosen until it replies; its copies are still assumed to
+    /// be loaded.
+    pub(crate) fn mark_disconnected(&mut self, w: usize, now: Micros) {
+        self.workers[w].disconnected = true;
+        self.workers[w].next_trial = now + TRIAL_INTERVAL / 4;
         if self.discovery_lost() {
             self.workers[w].unreachable_since.get_or_insert(now);
         }
     }
 
-    /// Guards against a worker that turns calls away. If it holds no more than others it picks by tenant or
-    /// class: that pair stays away, others are served. Else (full, or draining before the list tells) all do.
-    pub(crate) fn turned_away(&mut self, w: usize, pair: (Option<usize>, usize), now: Micros) {
-        let picks = self.reports && !self.crowded(w, now);
-        let (key, span) = if picks { (pair, AWAY) } else { (WHOLE, (FULL_WAIT, AWAY.0)) };
+    /// Blocks calls after a worker rejected one. A worker that is not crowded rejects by tenant or class, so only
+    /// calls of that kind are blocked. Otherwise it is full, or draining before the list says so, and all calls are
+    /// blocked, for a shorter time.
+    pub(crate) fn record_rejection(&mut self, w: usize, kind: CallKind, now: Micros) {
+        let selective = self.load_reported && !self.is_crowded(w, now);
+        let (key, shortest, longest) =
+            if selective { (kind, MIN_BLOCK, MAX_BLOCK) } else { (ALL_CALLS, FULL_BACKOFF, MIN_BLOCK) };
         let block = self.workers[w].blocks.entry(key).or_default();
-        block.1 = (block.1 * 2).clamp(span.0, span.1);
-        block.0 = now + block.1;
+        block.duration = (block.duration * 2).clamp(shortest, longest);
+        block.until = now + block.duration;
     }
 
-    /// A connection broke. It may be the process, which then holds nothing once it is back: it is asked.
-    pub(crate) fn doubt(&mut self, w: usize, now: Micros) {
+    /// A connection was reset. The process may have restarted without its copies, so a copy query follows soon.
+    pub(crate) fn suspect_restart(&mut self, w: usize, now: Micros) {
         let worker = &mut self.workers[w];
-        (worker.reset, worker.doubted, self.last_reset) = (now, true, now);
-        worker.next_trial = now + TRIALS.0 / 4;
+        (worker.reset_at, worker.restart_suspected, self.last_reset_at) = (now, true, now);
+        worker.next_trial = now + TRIAL_INTERVAL / 4;
     }
 
-    pub(crate) fn suspect(&self, w: usize) -> bool {
-        !self.distrust && (self.workers[w].dead || self.workers[w].slow)
+    /// Whether a worker gets trial requests only.
+    pub(crate) fn is_suspect(&self, w: usize) -> bool {
+        !self.ignore_suspicion && (self.workers[w].disconnected || self.workers[w].slow)
     }
 
-    /// One running figure of how a worker does against what was expected: what goes wrong there raises it.
-    pub(crate) fn judge(
-        &mut self, now: Micros, f: usize, a: &Attempt, how: (Outcome, Micros, bool), loaded: bool,
+    /// Updates a worker's slowness, and the service times of function and class, when an attempt has ended.
+    pub(crate) fn update_slowness(
+        &mut self, now: Micros, f: usize, attempt: &Attempt, result: AttemptResult,
     ) {
-        let (outcome, elapsed, over) = how;
-        let (w, class, expected, mut sample) = (a.worker, self.functions[f].class, a.expected, None);
+        let AttemptResult { outcome, elapsed, request_done, loaded_for_it } = result;
+        let (w, class, expected) = (attempt.worker, self.functions[f].class, attempt.expected_time);
+        let mut sample = None;
         match outcome {
             Outcome::Ok => {
-                (self.workers[w].heard, self.workers[w].dead) = (now, false);
-                if !loaded {
-                    let e = elapsed as f64;
-                    let ratio = (e / expected).min(BAD);
+                (self.workers[w].last_response, self.workers[w].disconnected) = (now, false);
+                if !loaded_for_it {
+                    let elapsed = elapsed as f64;
+                    let ratio = (elapsed / expected).min(FAILURE_SLOWNESS);
                     sample = Some(ratio);
-                    if !self.reports {
-                        // Of a fleet that reports no load, the time an answer took stands for what is held.
+                    if !self.load_reported {
+                        // Workers that report no load: the relative response time stands for the requests there.
                         let worker = &mut self.workers[w];
-                        let before = worker.report.map_or(1.0, |r| r.1);
-                        worker.report = Some((now, (before + ratio) / 2.0, worker.out.len()));
+                        let before = worker.report.map_or(1.0, |r| r.inflight);
+                        let (inflight, our_inflight) = ((before + ratio) / 2.0, worker.attempts.len());
+                        worker.report = Some(LoadReport { at: now, inflight, our_inflight });
                     }
                     let function = &mut self.functions[f];
-                    function.service += ALPHA * (e.min(expected * BAD) - function.service);
-                    let mean = &mut self.class_service[class];
-                    *mean += ALPHA / 2.0 * (e.min(expected * BAD) - *mean);
+                    function.service_time +=
+                        MEAN_WEIGHT * (elapsed.min(expected * FAILURE_SLOWNESS) - function.service_time);
+                    let mean = &mut self.class_service_time[class];
+                    *mean += MEAN_WEIGHT / 2.0 * (elapsed.min(expected * FAILURE_SLOWNESS) - *mean);
                 }
-                self.work_done += self.class_service[class];
+                self.work_done += self.class_service_time[class];
             }
-            // Of a function never served here the error may lie with the call: no worker is accused.
-            Outcome::Error if !self.functions[f].proven => {}
-            Outcome::Error | Outcome::Timeout if !a.called_off => sample = Some(BAD),
-            // Called off because its time was up: it would have taken longer still.
-            Outcome::Cancelled if over => {
-                let ratio = (elapsed as f64 / expected).min(BAD);
-                sample = Some(ratio).filter(|&r| r > self.workers[w].health);
+            // If the function has never been served, the call itself may be at fault, not the worker.
+            Outcome::Error if !self.functions[f].ever_served => {}
+            Outcome::Error | Outcome::Timeout if !attempt.cancelled => sample = Some(FAILURE_SLOWNESS),
+            // Cancelled because its time was up: it would have taken even longer.
+            Outcome::Cancelled if request_done => {
+                let ratio = (elapsed as f64 / expected).min(FAILURE_SLOWNESS);
+                sample = Some(ratio).filter(|&r| r > self.workers[w].slowness);
             }
             Outcome::ConnectFailed => {
-                self.died(w, now);
-                sample = Some(BAD);
+                self.mark_disconnected(w, now);
+                sample = Some(FAILURE_SLOWNESS);
             }
-            // Connections end though the process lives: if it does not, the next one is refused. All that was
-            // open on one counts once, or a single spoilt answer would cost a sound worker its calls.
-            Outcome::Reset if now > self.workers[w].reset + TICK => {
-                self.doubt(w, now);
-                sample = Some(BAD);
+            // A connection may end while the process lives; if the process is gone, the next connection is refused.
+            // All attempts on one connection count once, or a single malformed reply would make a healthy worker a
+            // suspect.
+            Outcome::Reset if now > self.workers[w].reset_at + TICK => {
+                self.suspect_restart(w, now);
+                sample = Some(FAILURE_SLOWNESS);
             }
             _ => {}
         }
-        // Guards against accusing workers of our own stand-still.
-        if now < self.woke + TICK {
+        // Right after a stall of this front end, times say nothing about workers.
+        if now < self.resumed_at + TICK {
             sample = None;
         }
-        // A sign weighs more, and below lasts longer, where our calls come round to a worker seldom.
-        let weight = 2.0 * ALPHA * (self.fade / REPORT_FADE.0).clamp(1.0, 2.5);
-        let health = &mut self.workers[w].health;
-        *health += weight * (sample.unwrap_or(*health) - *health);
+        // Where our calls reach a worker rarely, a sample weighs more, and its effect lasts longer: see
+        // `refresh_slowness`.
+        let weight =
+            2.0 * MEAN_WEIGHT * (self.report_decay / MIN_REPORT_DECAY).clamp(1.0, MAX_RARE_CALL_FACTOR);
+        let slowness = &mut self.workers[w].slowness;
+        *slowness += weight * (sample.unwrap_or(*slowness) - *slowness);
     }
 
-    /// Asks a suspect that gave no answer about a function it last held: an answer brings it back.
-    pub(crate) fn trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
+    /// Sends a copy query to each worker whose connection was lost, for a function that it last had loaded. A reply
+    /// clears the suspicion.
+    pub(crate) fn send_trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
         for &w in ready {
-            let may = self.set.may_command && self.holds >= 1.0;
-            if !self.workers[w].in_doubt() || now < self.workers[w].next_trial || !may {
+            let may_query = self.settings.may_command && self.load_tokens >= 1.0;
+            if !self.workers[w].copies_unconfirmed() || now < self.workers[w].next_trial || !may_query {
                 continue;
             }
-            self.workers[w].next_trial = now + TRIALS.0;
-            self.holds -= 1.0;
-            let quiet = |f: &usize| self.functions[*f].at.get(&w).is_none_or(|c| c.order.is_none());
-            let held = self.workers[w].holds.iter().copied().chain([self.latest]).filter(quiet);
-            let warm = |f: usize| self.functions[f].at.get(&w).is_some_and(|c| c.warm(now));
-            let known = held.filter(|&f| self.functions.get(f).is_some_and(|g| g.last_call > 0));
+            self.workers[w].next_trial = now + TRIAL_INTERVAL;
+            self.load_tokens -= 1.0;
+            let no_command =
+                |f: &usize| self.functions[*f].copies.get(&w).is_none_or(|copy| copy.command.is_none());
+            let candidates =
+                self.workers[w].functions.iter().copied().chain([self.last_called]).filter(no_command);
+            let warm = |f: usize| self.functions[f].copies.get(&w).is_some_and(|copy| copy.warm(now));
+            let known = candidates.filter(|&f| self.functions.get(f).is_some_and(|g| g.last_call > 0));
             if let Some(f) = known.max_by_key(|&f| (warm(f), self.functions[f].last_call)) {
-                self.copy(f, w).order = Some(Order::Ask(now));
-                out.push(self.order(f, w, 0));
+                self.copy_record(f, w).command = Some(Command::Query(now));
+                out.push(self.load_action(f, w, 0));
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,6 +41,7 @@
 
 mod admission;
 mod control;
+mod fleet_stats;
 mod footprint;
 mod health;
 mod interface;
@@ -52,7 +53,6 @@
 mod settings;
 mod slow_start;
 mod state;
-mod survey;
 
 pub use footprint::Footprint;
 pub use interface::*;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,203 +1,238 @@
-//! Placement: where a request goes, or how long it is held.
-use crate::control::{DEFAULT_SPAN, MS, SEC, TICK};
-use crate::health::{SILENT, WHOLE};
+//! Placement: which worker a request goes to, or how long it is queued.
+use crate::control::{DEFAULT_TIME, MS, SEC, TICK};
+use crate::fleet_stats::MIN_REPORT_DECAY;
+use crate::health::{ALL_CALLS, OVERDUE_RATIO};
 use crate::interface::*;
-use crate::replication::LOAD_SLOW;
+use crate::replication::SLOW_LOAD_RATIO;
 use crate::state::*;
-use crate::survey::REPORT_FADE;
 
-/// Crowded: this multiple of the mean held, and this many more. Few front ends see most of what a worker holds
-/// themselves: there a tight bound made losses, and so loads, of ordinary unevenness.
-const CROWDED: (f64, f64) = (1.25, 0.75);
-const CROWDED_FEW: (f64, f64) = (2.0, 1.5);
-pub(crate) const FEW: u32 = 16; // front ends
-const HELD_PART: f64 = 0.45; // part of its life that a request waits with no attempt made
-/// The same for a function never served here: no worker may know it, and a word is owed within 3 s (terms).
-const HELD_UNPROVEN: Micros = 2_700 * MS;
-const TURNED_AWAY: usize = 3; // attempts that never ran after which nobody is asked again
-const UNPROVEN_ERRORS: u32 = 2; // errors after which a call of a function never served here ends
+/// A worker is crowded if its requests exceed this multiple of the mean per worker ...
+const CROWDED_RATIO: f64 = 1.25;
+/// ... by more than this many.
+const CROWDED_EXCESS: f64 = 0.75;
+/// The same where few front ends serve the workers. Each of them sends a large part of a worker's requests itself, and
+/// with a tighter bound ordinary unevenness caused losses, and with them loads.
+const CROWDED_RATIO_FEW: f64 = 2.0;
+const CROWDED_EXCESS_FEW: f64 = 1.5;
+/// Most front ends that count as few.
+pub(crate) const FEW_FRONT_ENDS: u32 = 16;
+/// A request is queued without an attempt for at most this fraction of the time to its deadline.
+const MAX_QUEUED_FRACTION: f64 = 0.45;
+/// The same for a function that has never been served here, in microseconds: perhaps no worker knows the function, and
+/// a response is due within 3 s.
+const MAX_QUEUED_NEVER_SERVED: Micros = 2_700 * MS;
+/// A request ends after this many attempts that did not run.
+const MAX_REJECTIONS: usize = 3;
+/// A request of a function that has never been served here ends after this many error replies.
+const MAX_ERRORS_NEVER_SERVED: u32 = 2;
+/// How long a report of other front ends' requests for a function at a worker counts, in microseconds.
+const OTHERS_LIFETIME: Micros = SEC / 2;
+/// Least service time on which the expected time of an attempt is based, in microseconds.
+const MIN_SERVICE_TIME: f64 = 10.0 * MS as f64;
+/// Least service time on which the time after which an attempt is overdue is based, in microseconds.
+const MIN_OVERDUE_SERVICE_TIME: f64 = 50.0 * MS as f64;
 
-impl Copy {
-    /// Lanes not taken by our requests, nor by others' where a recent note told of them.
-    pub(crate) fn free(&self, now: Micros, lanes: u32) -> bool {
-        let others = if now < self.others.0 + SEC / 2 { self.others.1 } else { 0 };
-        self.ours + others < self.count.saturating_mul(lanes)
+impl CopyRecord {
+    /// Whether a lane is free: not taken by our requests, nor by those of other front ends if reported recently.
+    pub(crate) fn has_free_lane(&self, now: Micros, lanes: u32) -> bool {
+        let recent = now < self.others_inflight.at + OTHERS_LIFETIME;
+        let others = if recent { self.others_inflight.count } else { 0 };
+        self.our_inflight + others < self.count.saturating_mul(lanes)
     }
 }
 
 impl Controller {
-    /// Whether a worker may be sent a call of this class now. Rule 3: drains are kept from the moment of the
-    /// news. Rule 4: a cold worker gets only what its budget allows. Suspects only get trial calls, unless
-    /// most of the fleet looks bad: then the judgement is at fault, not the fleet.
+    /// Whether a worker may be sent a call of this class now. A draining worker gets nothing from the moment that the
+    /// drain is known. A cold worker gets only what its budget allows. A suspect gets only trial requests, unless most
+    /// of the fleet looks bad: then it is the judgement that is wrong.
     pub(crate) fn usable(&self, w: usize, class: usize, now: Micros) -> bool {
         let worker = &self.workers[w];
-        let broke =
-            self.cold_share(w, now).is_some() && worker.budget < worker.draw * self.class_service[class];
-        let safe = self.set.classes[class].retry_safety == RetrySafety::Safe;
-        let trial = safe && !worker.dead && worker.out.is_empty() && now >= worker.next_trial;
-        worker.ready() && !broke && !self.suspended(w, now) && (!self.suspect(w) || trial)
+        let over_budget = self.capacity_share(w, now).is_some()
+            && worker.cold_budget < worker.cold_threshold * self.class_service_time[class];
+        let safe = self.settings.classes[class].retry_safety == RetrySafety::Safe;
+        let trial = safe && !worker.disconnected && worker.attempts.is_empty() && now >= worker.next_trial;
+        worker.ready() && !over_budget && !self.suspended(w, now) && (!self.is_suspect(w) || trial)
     }
 
-    /// Guards against piling up on a worker that others fill or that is weak: it holds more than the mean.
-    pub(crate) fn crowded(&self, w: usize, now: Micros) -> bool {
-        let few = (2..=FEW).contains(&self.set.front_ends);
-        let bound = if few { CROWDED_FEW } else { CROWDED };
-        self.held_at(w, now) * self.workers[w].health > self.mean_held * bound.0 + bound.1
+    /// Whether a worker has more requests than the mean, because other front ends load it or because it is slow.
+    pub(crate) fn is_crowded(&self, w: usize, now: Micros) -> bool {
+        let few = (2..=FEW_FRONT_ENDS).contains(&self.settings.front_ends);
+        let (ratio, excess) =
+            if few { (CROWDED_RATIO_FEW, CROWDED_EXCESS_FEW) } else { (CROWDED_RATIO, CROWDED_EXCESS) };
+        self.estimated_inflight(w, now) * self.workers[w].slowness > self.mean_inflight * ratio + excess
     }
 
-    /// Requests a worker is thought to hold: its last report, fading to the mean, and ours since.
-    pub(crate) fn held_at(&self, w: usize, now: Micros) -> f64 {
-        let ours = self.workers[w].out.len() as f64;
-        let seen = self.workers[w].report.map(|(at, held, then)| {
-            let weight = (-(now.saturating_sub(at) as f64) / self.fade.max(REPORT_FADE.0)).exp();
-            self.mean_held + (held - self.mean_held) * weight + ours - then as f64
+    /// Estimated requests at a worker: its last report, decaying to the mean, and the change of ours since.
+    pub(crate) fn estimated_inflight(&self, w: usize, now: Micros) -> f64 {
+        let ours = self.workers[w].attempts.len() as f64;
+        let estimate = self.workers[w].report.map(|report| {
+            let age = now.saturating_sub(report.at) as f64;
+            let weight = (-age / self.report_decay.max(MIN_REPORT_DECAY)).exp();
+            self.mean_inflight + (report.inflight - self.mean_inflight) * weight + ours
+                - report.our_inflight as f64
         });
-        seen.unwrap_or(self.mean_held).max(ours)
+        estimate.unwrap_or(self.mean_inflight).max(ours)
     }
 
+    /// Usable workers with a free lane of a loaded copy that are not crowded.
     pub(crate) fn free_workers(&self, f: usize, now: Micros) -> Vec<usize> {
         let function = &self.functions[f];
-        let free = |(&w, c): (&usize, &Copy)| {
-            let ok = c.warm(now) && c.free(now, function.lanes) && self.usable(w, function.class, now);
-            (ok && !self.crowded(w, now)).then_some(w)
+        let free = |(&w, copy): (&usize, &CopyRecord)| {
+            let usable = copy.warm(now)
+                && copy.has_free_lane(now, function.lanes)
+                && self.usable(w, function.class, now);
+            (usable && !self.is_crowded(w, now)).then_some(w)
         };
-        function.at.iter().filter_map(free).collect()
+        function.copies.iter().filter_map(free).collect()
     }
 
-    /// Where a request may go. Rule 2: an unsafe one only while nothing may have run, a keyed one that may
-    /// have run only inside its group and window. Nothing goes back to where it failed.
-    pub(crate) fn allowed(&self, id: RequestId, w: usize, now: Micros) -> bool {
-        let r = &self.requests[&id];
-        let blocked = |key| self.workers[w].blocks.get(&key).is_some_and(|b| now < b.0);
-        if blocked((r.tenant, r.class)) || blocked(WHOLE) {
+    /// Whether a request may go to a worker. An unsafe request may only as long as no attempt can have run. A
+    /// deduplicated one that may have run goes only to workers in its scope, and within its window. No request goes
+    /// back to a worker where an attempt of it may have run or is in flight.
+    pub(crate) fn may_receive(&self, id: RequestId, w: usize, now: Micros) -> bool {
+        let request = &self.requests[&id];
+        let blocked = |kind| self.workers[w].blocks.get(&kind).is_some_and(|block| now < block.until);
+        if blocked((request.tenant, request.class)) || blocked(ALL_CALLS) {
             return false;
         }
-        if r.attempts.iter().any(|a| a.worker == w && (a.open || a.may_have_run)) {
+        if request.attempts.iter().any(|a| a.worker == w && (a.open || a.may_have_run)) {
             return false;
         }
-        let Some(first) = r.attempts.iter().find(|a| a.may_have_run) else { return true };
-        let (c, a, b) =
-            (&self.set.classes[r.class], &self.workers[first.worker].entry, &self.workers[w].entry);
-        let inside = match c.dedup_scope {
+        let Some(first) = request.attempts.iter().find(|a| a.may_have_run) else { return true };
+        let class = &self.settings.classes[request.class];
+        let (first_entry, entry) = (&self.workers[first.worker].entry, &self.workers[w].entry);
+        let in_scope = match class.dedup_scope {
             DedupScope::All => true,
-            DedupScope::Zone => a.zone == b.zone,
-            DedupScope::Cell => a.cell == b.cell,
+            DedupScope::Zone => first_entry.zone == entry.zone,
+            DedupScope::Cell => first_entry.cell == entry.cell,
         };
-        let keyed =
-            c.retry_safety == RetrySafety::Deduplicated && inside && now + TICK < first.sent + c.dedup_window;
-        c.retry_safety == RetrySafety::Safe || keyed
+        let deduplicated = class.retry_safety == RetrySafety::Deduplicated
+            && in_scope
+            && now + TICK < first.sent_at + class.dedup_window;
+        class.retry_safety == RetrySafety::Safe || deduplicated
     }
 
-    /// Sends a request, or leaves it held until a copy is due, or ends it if nothing more can be done.
+    /// Sends a request, or queues it until a copy is loaded, or ends it if nothing more can be done.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
-        let (f, class, lost, retry) = (r.function, r.class, r.lost, r.retry);
-        if r.attempts.iter().any(|a| a.open) {
+        let Some(request) = self.requests.get(&id).filter(|r| !r.done) else { return };
+        let (f, class, lost, retry) = (request.function, request.class, request.lost, request.retry);
+        if request.attempts.iter().any(|a| a.open) {
             return;
         }
-        let ran = r.attempts.iter().any(|a| a.may_have_run);
-        // Guards against a call for nobody: the attempt's time-out may come just before the request's timer.
-        if now >= r.ends
-            || r.attempts.iter().filter(|a| !a.open && !a.may_have_run).count() >= TURNED_AWAY
-            || r.attempts.len() as u32 >= self.set.max_attempts
-            || ran && self.set.classes[class].retry_safety == RetrySafety::Unsafe
-            // Guards workers against calls that none of them can use: each answers them with an error.
-            || r.errors >= UNPROVEN_ERRORS && !self.functions[f].proven
+        let may_have_run = request.attempts.iter().any(|a| a.may_have_run);
+        // The deadline is checked here because an attempt may time out just before the request's timer fires.
+        if now >= request.deadline
+            || request.attempts.iter().filter(|a| !a.open && !a.may_have_run).count() >= MAX_REJECTIONS
+            || request.attempts.len() as u32 >= self.settings.max_attempts
+            || may_have_run && self.settings.classes[class].retry_safety == RetrySafety::Unsafe
+            // Keeps calls that no worker can serve from going round the workers: each replies with an error.
+            || request.errors >= MAX_ERRORS_NEVER_SERVED && !self.functions[f].ever_served
         {
             return self.finish(id, out);
         }
         let mut free = self.free_workers(f, now);
-        free.retain(|&w| self.allowed(id, w, now));
-        if r.probing.is_some() && self.held_too_long(id, now) {
+        free.retain(|&w| self.may_receive(id, w, now));
+        if request.probing.is_some() && self.queued_too_long(id, now) {
             return self.finish(id, out);
         }
-        let Some(free) = self.after_probe(id, free, now) else { return };
-        if let Some(w) = self.pick(&free) {
-            if !self.assured(now, id, w, out) {
+        let Some(free) = self.choices_after_probe(id, free, now) else { return };
+        if let Some(w) = self.pick_random(&free) {
+            if !self.ensure_ready(now, id, w, out) {
                 return;
             }
-            // Exception, while several front ends share the workers: others' requests in flight take lanes too.
-            // If they are as many as ours of late, all lanes that we know of are taken: a loss we cannot see.
-            let (service, lanes) = (self.functions[f].service, f64::from(self.functions[f].lanes));
-            let known = self.functions[f].at.values().filter(|c| c.warm(now)).count() as f64;
-            if self.set.front_ends > 1 && !(lost || retry) && self.fleet_calls(f, service) > known * lanes {
-                self.functions[f].last_lost = now;
+            // Exception with several front ends: requests of the others take lanes too. If each of them has as many
+            // in flight as this one had lately, all known lanes are taken. That is a loss which cannot be seen here.
+            let function = &self.functions[f];
+            let (service_time, lanes) = (function.service_time, f64::from(function.lanes));
+            let known = function.copies.values().filter(|copy| copy.warm(now)).count() as f64;
+            if self.settings.front_ends > 1
+                && !(lost || retry)
+                && self.fleet_calls(f, service_time) > known * lanes
+            {
+                self.functions[f].last_loss = now;
                 self.add_copy(f, now, Some(id), out);
             }
             return self.send(now, id, w, out);
         }
-        let fresh = !(lost || retry); // a marked repeat is not a fresh loss: the first try has been counted
-        if fresh {
-            self.functions[f].last_lost = now;
+        // A retry by the client is no new loss: its first try has been counted.
+        let new_loss = !(lost || retry);
+        if new_loss {
+            self.functions[f].last_loss = now;
         }
         self.requests.entry(id).and_modify(|r| r.lost = true);
-        let at = &self.functions[f].at;
-        let fits = |w: &usize| self.usable(*w, class, now) && self.allowed(id, *w, now);
-        // Ties go to the least held by all accounts: at size ours are mostly none.
-        let load =
-            |w: usize, c: &Copy| (c.ours, (self.held_at(w, now) * self.workers[w].health * 16.0) as u64);
-        let warm: Vec<usize> = at.iter().filter(|(w, c)| c.warm(now) && fits(w)).map(|(&w, _)| w).collect();
-        let Some(warm) = self.after_probe(id, warm, now) else { return };
-        if let Some(w) = warm.into_iter().min_by_key(|&w| (load(w, &at[&w]), w)) {
-            if !self.assured(now, id, w, out) {
+        let copies = &self.functions[f].copies;
+        let fits = |w: &usize| self.usable(*w, class, now) && self.may_receive(id, *w, now);
+        // Ties go to the worker with the fewest requests of all front ends: with many front ends ours are mostly zero.
+        let load = |w: usize, copy: &CopyRecord| {
+            let inflight = self.estimated_inflight(w, now) * self.workers[w].slowness;
+            (copy.our_inflight, (inflight * 16.0) as u64)
+        };
+        let warm: Vec<usize> =
+            copies.iter().filter(|(w, copy)| copy.warm(now) && fits(w)).map(|(&w, _)| w).collect();
+        let Some(warm) = self.choices_after_probe(id, warm, now) else { return };
+        if let Some(w) = warm.into_iter().min_by_key(|&w| (load(w, &copies[&w]), w)) {
+            if !self.ensure_ready(now, id, w, out) {
                 return;
             }
-            if fresh {
+            if new_loss {
                 self.add_copy(f, now, Some(id), out);
             }
             return self.send(now, id, w, out);
         }
-        if self.held_too_long(id, now) {
+        if self.queued_too_long(id, now) {
             return self.finish(id, out);
         }
-        self.keep_held(f, id);
-        if self.ask(f, now, out) {
+        self.enqueue(f, id);
+        if self.query_copies(f, now, out) {
             return;
         }
-        let waiting = self.functions[f].held.len() as u32;
+        let queued = self.functions[f].queued.len() as u32;
         let function = &self.functions[f];
-        let pending = function.at.values().filter(|c| c.loading()).count() as u32;
-        if waiting > pending * function.lanes.max(2) && !self.add_copy(f, now, Some(id), out) && pending == 0
-        {
-            // No order may be given (ration, cap or site): where calls load by themselves, this one does.
-            let may = self.set.load_on_miss && f64::from(self.loads_out) < self.load_cap;
-            if let Some(w) = may.then(|| self.target(f, now, Some(id))).flatten() {
-                if self.assured(now, id, w, out) {
+        let loading = function.copies.values().filter(|copy| copy.loading()).count() as u32;
+        if queued > loading * function.lanes.max(2) && !self.add_copy(f, now, Some(id), out) && loading == 0 {
+            // No load command may be sent, because of a limit or the settings. If calls load by themselves, this one
+            // does.
+            let may_send = self.settings.load_on_miss && f64::from(self.loads_in_flight) < self.load_cap;
+            if let Some(w) = may_send.then(|| self.choose_load_target(f, now, Some(id))).flatten() {
+                if self.ensure_ready(now, id, w, out) {
                     self.send(now, id, w, out);
                 }
             }
         }
     }
 
-    /// Guards against holding a request back until nobody can use its answer: with no attempt made by then, a
-    /// refusal while the client has time to try again is worth more than a place in the queue.
-    pub(crate) fn held_too_long(&self, id: RequestId, now: Micros) -> bool {
-        let r = &self.requests[&id];
-        let most = ((r.ends - r.arrived) as f64 * HELD_PART) as Micros;
-        let most = if self.functions[r.function].proven { most } else { most.min(HELD_UNPROVEN) };
-        r.attempts.is_empty() && now.saturating_sub(r.arrived) > most
+    /// Whether a request has been queued without an attempt for so long that refusing it is better: the client still
+    /// has time to try again, which is worth more than a place in the queue.
+    pub(crate) fn queued_too_long(&self, id: RequestId, now: Micros) -> bool {
+        let request = &self.requests[&id];
+        let longest = ((request.deadline - request.arrived_at) as f64 * MAX_QUEUED_FRACTION) as Micros;
+        let ever_served = self.functions[request.function].ever_served;
+        let longest = if ever_served { longest } else { longest.min(MAX_QUEUED_NEVER_SERVED) };
+        request.attempts.is_empty() && now.saturating_sub(request.arrived_at) > longest
     }
 
+    /// Sends an attempt of a request to a worker.
     pub(crate) fn send(&mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>) {
-        let r = &self.requests[&id];
-        let function = &self.functions[r.function];
-        let cold = function.at.get(&w).is_none_or(|c| !c.warm(now) && !c.holding());
-        let told = if function.load_time > 0.0 { function.load_time } else { DEFAULT_SPAN as f64 };
-        let load = if cold { told } else { 0.0 };
-        let expected = function.service.max(10.0 * MS as f64) + load;
-        let patience = SILENT * function.service.max(50.0 * MS as f64) + LOAD_SLOW * load;
-        let (timeout, class) = (r.ends.saturating_sub(now).max(MS), r.class);
-        self.sent(now, id, w, cold, (expected, patience));
-        let draw = self.draw();
+        let request = &self.requests[&id];
+        let function = &self.functions[request.function];
+        let cold = function.copies.get(&w).is_none_or(|copy| !copy.warm(now) && !copy.load_pending());
+        let usual_load = if function.load_time > 0.0 { function.load_time } else { DEFAULT_TIME as f64 };
+        let load = if cold { usual_load } else { 0.0 };
+        let expected_time = function.service_time.max(MIN_SERVICE_TIME) + load;
+        let overdue_after =
+            OVERDUE_RATIO * function.service_time.max(MIN_OVERDUE_SERVICE_TIME) + SLOW_LOAD_RATIO * load;
+        let (timeout, class) = (request.deadline.saturating_sub(now).max(MS), request.class);
+        self.record_send(now, id, w, cold, (expected_time, overdue_after));
+        let threshold = self.random_fraction();
         let worker = &mut self.workers[w];
-        worker.draw = draw;
-        (worker.budget, worker.next_trial) =
-            (worker.budget - self.class_service[class], now + self.trial_gap);
+        worker.cold_threshold = threshold;
+        worker.cold_budget -= self.class_service_time[class];
+        worker.next_trial = now + self.trial_interval;
         out.push(Action::Send { id, worker: worker.entry.worker.clone(), timeout });
     }
 
-    /// Places the held requests of one function, or all, again.
-    pub(crate) fn retry_held(&mut self, only: Option<usize>, now: Micros, out: &mut Vec<Action>) {
-        self.held(only).into_iter().for_each(|id| self.place(now, id, out));
+    /// Places the queued requests of one function, or of all, again.
+    pub(crate) fn place_queued(&mut self, only: Option<usize>, now: Micros, out: &mut Vec<Action>) {
+        self.queued(only).into_iter().for_each(|id| self.place(now, id, out));
     }
 }
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -45,11 +45,11 @@
 
 impl Lease {
     /// A worker that has just been told to be ready.
-    pub(crate) fn told(now: Micros) -> Self {
+    pub(crate) fn new(now: Micros) -> Self {
         Lease { proven: now, ..Lease::default() }
     }
 
-    pub(crate) fn prove(&mut self, at: Micros) {
+    pub(crate) fn confirm(&mut self, at: Micros) {
         self.proven = self.proven.max(at);
     }
 
@@ -73,7 +73,7 @@
 
 impl Controller {
     /// Takes over what is reported of discovery.
-    pub(crate) fn discovery(&mut self, now: Micros, state: DiscoveryState) {
+    pub(crate) fn on_discovery(&mut self, now: Micros, state: DiscoveryState) {
         self.discovery.reported = true;
         match state {
             DiscoveryState::Current => self.discovery.lost = false,
@@ -83,7 +83,7 @@
 
     /// Guards against news that waits unread while the front end stood still: until discovery is heard again,
     /// the list is only as good as it was before.
-    pub(crate) fn stood_still(&mut self, since: Micros) {
+    pub(crate) fn on_stall(&mut self, since: Micros) {
         if self.discovery.reported {
             self.lose_discovery(since);
         }
@@ -92,7 +92,7 @@
     /// The list was current until `at`, and is not any more.
     fn lose_discovery(&mut self, at: Micros) {
         if !std::mem::replace(&mut self.discovery.lost, true) {
-            self.workers.iter_mut().for_each(|worker| worker.lease.prove(at));
+            self.workers.iter_mut().for_each(|worker| worker.lease.confirm(at));
         }
     }
 
@@ -103,7 +103,7 @@
     /// Until when something new may begin to go to a worker on the present knowledge; `None` while discovery
     /// is current.
     pub(crate) fn lease_end(&self, w: usize) -> Option<Micros> {
-        let grace = self.set.drain_grace;
+        let grace = self.settings.drain_grace;
         let span = grace - LEASE_MARGIN.min(grace / 4);
         self.discovery.lost.then(|| self.workers[w].lease.end(span))
     }
@@ -139,7 +139,7 @@
     /// Probes a worker, unless that is under way.
     pub(crate) fn probe(&mut self, w: usize, now: Micros, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
-        if self.set.may_probe && worker.lease.probed.is_none() {
+        if self.settings.may_probe && worker.lease.probed.is_none() {
             worker.lease.probed = Some(now);
             out.push(Action::Probe { worker: worker.entry.worker.clone() });
         }
@@ -147,7 +147,9 @@
 
     /// Whether a request may go to a worker at once. If not, the worker is probed and the request held for
     /// that.
-    pub(crate) fn assured(&mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>) -> bool {
+    pub(crate) fn ensure_ready(
+        &mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>,
+    ) -> bool {
         if self.leased(w, now) {
             return true;
         }
@@ -155,7 +157,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.probing = Some((w, now));
             let f = request.function;
-            self.keep_held(f, id);
+            self.enqueue(f, id);
         }
         false
     }
@@ -163,7 +165,9 @@
     /// Of these workers those among which a request may choose: once it has waited for a probe, the one that
     /// was probed for it if that proved ready, or its random choice would fall to the workers that others
     /// have proven. `None` while the answer may still come soon.
-    pub(crate) fn after_probe(&self, id: RequestId, among: Vec<usize>, now: Micros) -> Option<Vec<usize>> {
+    pub(crate) fn choices_after_probe(
+        &self, id: RequestId, among: Vec<usize>, now: Micros,
+    ) -> Option<Vec<usize>> {
         let Some((w, since)) = self.requests.get(&id).and_then(|request| request.probing) else {
             return Some(among);
         };
@@ -178,12 +182,12 @@
     }
 
     /// The answer to a probe, or its want.
-    pub(crate) fn probed(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub(crate) fn on_probed(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let Event::Probed { worker, outcome, inflight } = event else { return };
         let Some(&w) = self.worker_ids.get(&worker) else { return };
         let Some(sent) = self.workers[w].lease.probed.take() else { return };
         if outcome == Outcome::Ok {
-            self.takes_work(w, sent);
+            self.confirm_ready(w, sent);
             let lease = &mut self.workers[w].lease;
             (lease.pause, lease.not_before) = (0, 0);
         } else {
@@ -191,21 +195,21 @@
             lease.refute(sent);
             lease.suspend(now);
         }
-        self.report(w, now, inflight);
+        self.record_report(w, now, inflight);
         if outcome == Outcome::ConnectFailed {
-            self.died(w, now);
+            self.mark_disconnected(w, now);
         }
-        self.retry_held(None, now, out);
+        self.place_queued(None, now, out);
     }
 
     /// A worker is known to have taken work that was sent to it at `sent`. Without discovery, one that could
     /// not be reached before may be a new process, of whose start nobody tells: it counts as cold.
-    pub(crate) fn takes_work(&mut self, w: usize, sent: Micros) {
+    pub(crate) fn confirm_ready(&mut self, w: usize, sent: Micros) {
         let worker = &mut self.workers[w];
-        worker.lease.prove(sent);
+        worker.lease.confirm(sent);
         if let Some(since) = worker.unreachable_since.take() {
             worker.cold_since = worker.cold_since.max(since);
-            worker.budget = 0.0;
+            worker.cold_budget = 0.0;
         }
     }
 }
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -1,345 +1,415 @@
-//! Replication: where copies of functions are believed, asked for, loaded, renewed and dropped.
-use crate::control::{DEFAULT_SPAN, END_MARGIN, MS, SEC};
-use crate::health::{ALPHA, FULL_WAIT, SLOW};
+//! Replication: which copies of functions are assumed to be loaded, queried, loaded, renewed and unloaded.
+//!
+//! The algorithm is that of adaptive replication in loss networks. A real loss is a request that finds no free copy. A
+//! virtual loss is drawn at random for a request that did find one. Either adds a copy of the function, where possible
+//! in place of an idle copy of the least recently lost (LRL) function: the one whose last loss is longest ago.
+use crate::control::{DEFAULT_TIME, MS, RESPONSE_MARGIN, SEC};
+use crate::fleet_stats::MAX_RATE_SPAN;
+use crate::health::{FULL_BACKOFF, MEAN_WEIGHT, SLOW_RATIO};
 use crate::interface::*;
-use crate::placement::FEW;
+use crate::placement::FEW_FRONT_ENDS;
 use crate::state::*;
-use crate::survey::SPANS;
 
-const ASKED: usize = 6; // first workers of the common order that are asked: others looked there too
-const ASK_WAIT: Micros = 60 * MS; // a lost request waits this long for first answers: several round trips
-const ASK_AGAIN: Micros = 4 * SEC; // no second question sooner: others' loads take a good part of that
-/// Questions that each call earns at most, and how many can be saved up: a round for some tens of functions.
-pub(crate) const QUESTIONS: (f64, f64) = (0.5, 600.0);
-pub(crate) const HOLDS: f64 = 8.0; // holds that can be saved up, and that each call earns at most
-/// Share of a call's worth that its holds may cost, and the most that a question may: a hundred front ends ask
-/// a hundred times. Where a question is dearer the call itself goes to the first of the common order.
-pub(crate) const SPENT: (f64, f64) = (0.01, 0.01);
-const KEEP_USED: f64 = 0.9; // share of the told keep-alive that a belief lasts: travel time, slack
-const BELIEVED: f64 = 4.0; // most keep-alives for which others' calls are trusted to keep a copy
-const RENEW_AT: f64 = 0.75; // share of a belief's life after which a hold renews it, to arrive in time
-const RENEW_FOR: f64 = 2.0; // keep-alives after a call while the last copy is renewed: timers call so often
-const LOADS_PER_WORKER: u32 = 2; // asked of one worker at a time by us: it runs few, others ask too
-pub(crate) const LOAD_CAP: (f64, f64) = (1.0, 8.0); // bounds of the adaptive cap on our loads in flight
-/// A load this multiple of its usual time shows that the store is crowded.
-pub(crate) const LOAD_SLOW: f64 = 2.0;
-const COPIES_PER_CALL: f64 = 1.0; // copies beyond the first for each call in flight: a core's work
-/// Copies that all need up to which all use the same; beyond, those that each needs for a call of its own.
-const APERTURE: (f64, f64) = (16.0, 2.0);
-const MEMORY_FULL: f64 = 0.65; // share of memory that our account fills before it drops what it replaces
+/// Workers at the head of the common preference order that get copy queries: other front ends loaded there too.
+const QUERIED_WORKERS: usize = 6;
+/// A lost request waits this long for replies to copy queries, in microseconds: several round trips.
+const QUERY_WAIT: Micros = 60 * MS;
+/// Shortest interval between copy queries for a function at a worker, in microseconds. Loads by other front ends take
+/// a good part of it.
+const QUERY_INTERVAL: Micros = 4 * SEC;
+/// Query tokens that each call earns.
+pub(crate) const QUERY_TOKENS_PER_CALL: f64 = 0.5;
+/// Most query tokens that are saved up: a round of queries for some tens of functions.
+pub(crate) const MAX_QUERY_TOKENS: f64 = 600.0;
+/// Most load tokens that are saved up, and that one call earns.
+pub(crate) const MAX_LOAD_TOKENS: f64 = 8.0;
+/// Fraction of a call's worth that its load commands may cost.
+pub(crate) const MAX_LOAD_COST: f64 = 0.01;
+/// Highest cost of a copy query, as a fraction of a call's worth, at which queries are sent: a hundred front ends send
+/// a hundred queries. Above it the call itself goes to the head of the common preference order.
+pub(crate) const MAX_QUERY_COST: f64 = 0.01;
+/// Fraction of the keep-alive for which a copy is assumed to stay loaded: allows for latency and jitter.
+const KEEP_ALIVE_USED: f64 = 0.9;
+/// Most keep-alives for which calls of other front ends are trusted to keep a copy loaded.
+const MAX_LIFETIME_FACTOR: f64 = 4.0;
+/// A load command renews a copy after this fraction of its lifetime, so that it arrives in time.
+const RENEW_AT: f64 = 0.75;
+/// The last copy is renewed for this many keep-alives after a call: functions called by timers are called that often.
+const RENEW_FOR_KEEP_ALIVES: f64 = 2.0;
+/// Most load commands of ours in flight to one worker: it runs few loads at a time, and other front ends send some.
+const LOADS_PER_WORKER: u32 = 2;
+/// Bounds of the adaptive cap on our loads in flight.
+pub(crate) const MIN_LOAD_CAP: f64 = 1.0;
+pub(crate) const MAX_LOAD_CAP: f64 = 8.0;
+/// A load that takes this multiple of its usual time shows that the store is overloaded.
+pub(crate) const SLOW_LOAD_RATIO: f64 = 2.0;
+/// A load command that took less time found the copy already loaded, in microseconds.
+const SHORTEST_LOAD: f64 = 20.0 * MS as f64;
+/// Change of the load cap after a load of usual time.
+const LOAD_CAP_INCREASE: f64 = 0.25;
+/// Factor on the load cap after a slow load.
+const LOAD_CAP_DECREASE: f64 = 0.7;
+/// Copies beyond the first for each call in flight: a call takes one core.
+const COPIES_PER_CALL: f64 = 1.0;
+/// All front ends use the same copies of a function if together they need at most this many.
+const MAX_SHARED_COPIES: f64 = 16.0;
+/// Beyond that a front end uses this many times its equal share of the copies, and [`QUERIED_WORKERS`] more.
+const SHARE_FACTOR: f64 = 2.0;
+/// Most copies of one function at a worker that a load command asks for.
+const MAX_COPIES_AT_WORKER: u32 = 16;
+/// Fraction of a worker's memory that may be used by our account before copies are unloaded to make room.
+const MAX_MEMORY_FRACTION: f64 = 0.65;
 
 impl Controller {
-    pub(crate) fn keep(&self) -> Micros {
-        let keep = if self.set.keep_alive > 0 { self.set.keep_alive } else { 5 * DEFAULT_SPAN };
-        (keep as f64 * KEEP_USED) as Micros
+    /// How long an idle copy is assumed to stay loaded after its last use.
+    pub(crate) fn keep_alive(&self) -> Micros {
+        let keep_alive =
+            if self.settings.keep_alive > 0 { self.settings.keep_alive } else { 5 * DEFAULT_TIME };
+        (keep_alive as f64 * KEEP_ALIVE_USED) as Micros
     }
 
-    /// Calls of a function in a span by all front ends, if each makes as many as we.
+    /// Calls of a function by all front ends in a span of time, if each makes as many as this one.
     pub(crate) fn fleet_calls(&self, f: usize, span: f64) -> f64 {
-        let known = (self.functions[f].calls - 1.0).max(0.0) / SPANS.1 as f64;
-        known * span * f64::from(self.set.front_ends.max(1))
+        let rate = (self.functions[f].recent_calls - 1.0).max(0.0) / MAX_RATE_SPAN as f64;
+        rate * span * f64::from(self.settings.front_ends.max(1))
     }
 
-    /// Our part of the copies that all front ends need of a function: workers at the head of its order left to
-    /// others, and copies. Guards the first workers of a function that all front ends call.
-    pub(crate) fn part(&self, f: usize) -> (usize, f64) {
-        let all = COPIES_PER_CALL * self.fleet_calls(f, self.functions[f].service);
-        let front_ends = self.set.front_ends.max(1);
-        if front_ends <= FEW || all <= APERTURE.0 {
+    /// This front end's share of the copies of a function that all front ends need: the number of workers at the
+    /// head of its preference order that are left to others, and the number of copies. Keeps the front ends from all
+    /// sending to the first workers of a function that each of them calls.
+    pub(crate) fn our_share(&self, f: usize) -> (usize, f64) {
+        let all = COPIES_PER_CALL * self.fleet_calls(f, self.functions[f].service_time);
+        let front_ends = self.settings.front_ends.max(1);
+        if front_ends <= FEW_FRONT_ENDS || all <= MAX_SHARED_COPIES {
             return (0, all);
         }
-        let spread = (all as usize).next_power_of_two().min(self.workers.len()); // in steps: it wavers
-        let skipped = (self.set.index % front_ends) as usize * spread / front_ends as usize;
-        (skipped, all.min(ASKED as f64 + APERTURE.1 * all / f64::from(front_ends)))
+        // In powers of two, because the estimate fluctuates.
+        let spread = (all as usize).next_power_of_two().min(self.workers.len());
+        let skipped = (self.settings.index % front_ends) as usize * spread / front_ends as usize;
+        (skipped, all.min(QUERIED_WORKERS as f64 + SHARE_FACTOR * all / f64::from(front_ends)))
     }
 
-    /// How long a sign that a copy stands is believed: the keep-alive; longer while several front ends' calls
-    /// come several times to each copy within it and so restart its idle time.
-    pub(crate) fn belief(&self, f: usize) -> Micros {
-        let keep = self.keep() as f64;
-        let copies = self.functions[f].at.values().filter(|c| c.count > 0).count().max(1) as f64;
-        let each = if self.set.front_ends > 1 { self.fleet_calls(f, keep) / copies } else { 0.0 };
-        (keep * (each / 4.0).clamp(1.0, BELIEVED)) as Micros
+    /// How long a copy is assumed to stay loaded after evidence that it is: the keep-alive, or longer if the calls of
+    /// several front ends reach each copy several times within it, because each call restarts its idle time.
+    pub(crate) fn copy_lifetime(&self, f: usize) -> Micros {
+        let keep_alive = self.keep_alive() as f64;
+        let copies = self.functions[f].copies.values().filter(|copy| copy.count > 0).count().max(1) as f64;
+        let calls_per_copy =
+            if self.settings.front_ends > 1 { self.fleet_calls(f, keep_alive) / copies } else { 0.0 };
+        (keep_alive * (calls_per_copy / 4.0).clamp(1.0, MAX_LIFETIME_FACTOR)) as Micros
     }
 
-    /// The design's virtual loss: probability (min z*/z*) 1(Z <= z*) q(Z), while theta >= 1, D > 0, z* >= 1.
+    /// Draws whether a request counts as a virtual loss. With D warm copies, lambda requests in flight, Z free copies
+    /// and z* = (D - lambda) / theta, the probability is (min z* / z*) q(Z) if Z <= z*, and 0 otherwise. It applies
+    /// only while theta >= 1, D > 0 and z* >= 1. The minimum is that over all functions.
     pub(crate) fn virtual_loss(&mut self, f: usize, now: Micros) -> bool {
-        let theta = theta(self.busy, self.instances);
-        let (d, lambda) = self.counts(&self.functions[f], now);
-        let z_star = (d as f64 - lambda) / theta;
-        if theta < 1.0 || d == 0 || z_star < 1.0 {
+        let theta = theta(self.busy_fraction, self.copies_per_worker);
+        let (copies, inflight) = self.copies_and_inflight(&self.functions[f], now);
+        let z_star = (copies as f64 - inflight) / theta;
+        if theta < 1.0 || copies == 0 || z_star < 1.0 {
             return false;
         }
-        let least = self.least_star.min(z_star);
-        let z = self.free_workers(f, now).len();
-        let p = virtual_loss_chance(d, z, lambda, theta, z_star, least);
-        (self.random() as f64) < p * 2f64.powi(32)
+        let min_z_star = self.min_z_star.min(z_star);
+        let free = self.free_workers(f, now).len();
+        let chance = virtual_loss_chance(copies, free, inflight, theta, z_star, min_z_star);
+        (self.random() as f64) < chance * 2f64.powi(32)
     }
 
-    /// Guards against loading what others have loaded: asks for it. True while answers are awaited.
-    pub(crate) fn ask(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
-        let most = if self.set.front_ends > 1 { ASKED } else { usize::MAX };
-        let order =
-            if most == ASKED { self.nearest(f, self.part(f).0, draw) } else { self.by_preference(f, draw) };
-        let open = |&w: &usize| self.set.may_command && self.workers[w].ready() && !self.suspect(w);
-        let asked: Vec<usize> = order.into_iter().filter(open).take(most).collect();
+    /// Sends copy queries to the first workers of the preference order, so that a copy that another front end has
+    /// loaded is used instead of loading one more. Returns whether replies are awaited.
+    pub(crate) fn query_copies(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
+        let limit = if self.settings.front_ends > 1 { QUERIED_WORKERS } else { usize::MAX };
+        let order = if limit == QUERIED_WORKERS {
+            self.preferred_workers(f, self.our_share(f).0, rendezvous_score)
+        } else {
+            self.rank_all_workers(f, rendezvous_score)
+        };
+        let may_query =
+            |&w: &usize| self.settings.may_command && self.workers[w].ready() && !self.is_suspect(w);
+        let queried: Vec<usize> = order.into_iter().filter(may_query).take(limit).collect();
         let mut awaited = false;
-        for w in asked {
-            let left = self.questions >= 1.0;
-            let c = self.copy(f, w);
-            if let Some(Order::Ask(t)) = c.order {
-                awaited |= now < t + ASK_WAIT;
-            } else if left
-                && c.order.is_none()
-                && !c.warm(now)
-                && c.asked.is_none_or(|t| now >= t + ASK_AGAIN)
+        for w in queried {
+            let tokens_left = self.query_tokens >= 1.0;
+            let copy = self.copy_record(f, w);
+            if let Some(Command::Query(sent_at)) = copy.command {
+                awaited |= now < sent_at + QUERY_WAIT;
+            } else if tokens_left
+                && copy.command.is_none()
+                && !copy.warm(now)
+                && copy.queried_at.is_none_or(|queried_at| now >= queried_at + QUERY_INTERVAL)
             {
-                (c.order, c.asked) = (Some(Order::Ask(now)), Some(now));
-                self.questions -= 1.0;
-                out.push(self.order(f, w, 0));
+                (copy.command, copy.queried_at) = (Some(Command::Query(now)), Some(now));
+                self.query_tokens -= 1.0;
+                out.push(self.load_action(f, w, 0));
                 awaited = true;
             }
         }
         awaited
     }
 
-    /// Rule 5, the price of holds, and a reserve of both for real losses: may no further load be ordered now?
-    pub(crate) fn rationed(&mut self, now: Micros, spare: bool) -> bool {
-        let window = self.set.load_window;
-        let dear = self.holds < if spare { HOLDS / 2.0 } else { 1.0 };
-        if dear || window == 0 {
-            return dear;
+    /// Whether no further load command may be sent now: the settings limit them per window, and each costs a load
+    /// token. With `reserve` half of both is left for real losses.
+    pub(crate) fn load_limit_reached(&mut self, now: Micros, reserve: bool) -> bool {
+        let window = self.settings.load_window;
+        let no_tokens = self.load_tokens < if reserve { MAX_LOAD_TOKENS / 2.0 } else { 1.0 };
+        if no_tokens || window == 0 {
+            return no_tokens;
         }
-        while self.ordered.front().is_some_and(|&t| t + window + END_MARGIN < now) {
-            self.ordered.pop_front();
+        while self.load_times.front().is_some_and(|&t| t + window + RESPONSE_MARGIN < now) {
+            self.load_times.pop_front();
         }
-        let taken = self.taken.iter().rev().take_while(|&&t| t + window > now + END_MARGIN).count();
-        let allowed = self.set.free_loads + self.set.loads_per_request * taken as f64;
-        (self.ordered.len() + 1) as f64 > if spare { allowed / 2.0 } else { allowed }
+        let in_window = |&&t: &&Micros| t + window > now + RESPONSE_MARGIN;
+        let requests = self.request_times.iter().rev().take_while(in_window).count();
+        let allowed = self.settings.free_loads + self.settings.loads_per_request * requests as f64;
+        (self.load_times.len() + 1) as f64 > if reserve { allowed / 2.0 } else { allowed }
     }
 
-    /// A loss's answer: one more copy, unless our loads are at their cap or one is on its way already.
+    /// Loads one more copy after a loss: a real one of the request `lost`, or a virtual one. Does nothing if our loads
+    /// in flight are at their cap, or if a load of the function is already in flight and no request is queued for it.
     pub(crate) fn add_copy(
         &mut self, f: usize, now: Micros, lost: Option<RequestId>, out: &mut Vec<Action>,
     ) -> bool {
-        let ahead = lost.is_none();
-        let cap = if ahead { self.load_cap / 2.0 } else { self.load_cap };
+        let virtual_loss = lost.is_none();
+        let cap = if virtual_loss { self.load_cap / 2.0 } else { self.load_cap };
         let function = &self.functions[f];
-        let pending = function.at.values().any(|c| c.holding() || c.cold_sends > 0);
-        // Exception, while several front ends share the workers: each answers the same losses, together they
-        // would unload each other's copies. So calls in flight bound the copies that we know of.
-        let known = self.counts(function, now).0 as f64;
-        let enough = self.set.front_ends > 1 && known >= 1.0 + self.part(f).1.round();
-        let full = f64::from(self.loads_out) + 1.0 > cap || enough;
-        if !self.set.may_command || full || (pending && function.held.is_empty()) || self.rationed(now, ahead)
+        let pending = function.copies.values().any(|copy| copy.load_pending() || copy.cold_sends > 0);
+        // Exception with several front ends: each of them responds to the same losses, and together they would unload
+        // each other's copies. So the calls in flight limit the number of known copies.
+        let known = self.copies_and_inflight(function, now).0 as f64;
+        let enough = self.settings.front_ends > 1 && known >= 1.0 + self.our_share(f).1.round();
+        let at_limit = f64::from(self.loads_in_flight) + 1.0 > cap || enough;
+        if !self.settings.may_command
+            || at_limit
+            || (pending && function.queued.is_empty())
+            || self.load_limit_reached(now, virtual_loss)
         {
             return false;
         }
-        let Some(w) = self.target(f, now, lost) else { return false };
+        let Some(w) = self.choose_load_target(f, now, lost) else { return false };
         if !self.leased(w, now) {
-            if !ahead {
-                self.probe(w, now, out); // the next loss finds the answer
+            if !virtual_loss {
+                self.probe(w, now, out); // the next loss can use the result
             }
             return false;
         }
         self.make_room(f, w, now, out);
-        let c = self.copy(f, w);
-        let count = if c.warm(now) { (c.count + 1).min(16) } else { 1 };
-        self.hold(f, w, count, now, out);
+        let copy = self.copy_record(f, w);
+        let count = if copy.warm(now) { (copy.count + 1).min(MAX_COPIES_AT_WORKER) } else { 1 };
+        self.send_load(f, w, count, now, out);
         true
     }
 
-    /// Where a new copy goes: a random worker on which the least recently lost function lies idle, else any.
-    /// A slot once given away is passed over until its function is used again, as if it had been evicted.
-    pub(crate) fn target(&mut self, f: usize, now: Micros, id: Option<RequestId>) -> Option<usize> {
-        let (class, nearest) = (self.functions[f].class, self.nearest(f, self.part(f).0, draw));
+    /// Chooses the worker for a new copy: a random one with an idle copy of the least recently lost function, else any.
+    /// An idle copy is chosen once only. Until its function is used again it is passed over, as if it had been evicted.
+    pub(crate) fn choose_load_target(
+        &mut self, f: usize, now: Micros, id: Option<RequestId>,
+    ) -> Option<usize> {
+        let class = self.functions[f].class;
+        let preferred = self.preferred_workers(f, self.our_share(f).0, rendezvous_score);
         let fits = |w: usize, warm_too: bool| {
             let worker = &self.workers[w];
-            let c = self.functions[f].at.get(&w);
-            let here = c.is_some_and(|c| c.holding() || c.warm(now) && !warm_too);
+            let copy = self.functions[f].copies.get(&w);
+            let here = copy.is_some_and(|copy| copy.load_pending() || copy.warm(now) && !warm_too);
             self.usable(w, class, now)
-                && !(self.suspect(w) || here)
-                && (warm_too || !self.crowded(w, now))
-                && worker.orders_out < LOADS_PER_WORKER
-                && now >= worker.full_until
-                && id.is_none_or(|id| self.allowed(id, w, now))
+                && !(self.is_suspect(w) || here)
+                && (warm_too || !self.is_crowded(w, now))
+                && worker.loads_in_flight < LOADS_PER_WORKER
+                && now >= worker.no_loads_until
+                && id.is_none_or(|id| self.may_receive(id, w, now))
         };
-        let idle = |c: &Copy| c.warm(now) && c.ours == 0;
-        // Exception, while several front ends share the workers: they draw alike, in an order that ids alone
-        // decide, and take the first that has room or holds an idle copy of a function lost less recently.
-        if self.set.front_ends > 1 {
-            let lost = self.functions[f].last_lost;
-            let yields = |g: &Function, w: usize| g.last_lost < lost && g.at.get(&w).is_some_and(idle);
-            let gives = |w: usize| self.workers[w].holds.iter().any(|&g| yields(&self.functions[g], w));
+        let idle = |copy: &CopyRecord| copy.warm(now) && copy.our_inflight == 0;
+        // Exception with several front ends: all of them follow the same preference order, which depends on identifiers
+        // alone, and take the first worker with room or with an idle copy of a function lost less recently.
+        if self.settings.front_ends > 1 {
+            let last_loss = self.functions[f].last_loss;
+            let replaceable = |function: &Function, w: usize| {
+                function.last_loss < last_loss && function.copies.get(&w).is_some_and(idle)
+            };
+            let has_replaceable =
+                |w: usize| self.workers[w].functions.iter().any(|&g| replaceable(&self.functions[g], w));
             let choose = |order: &[usize], warm_too| {
                 let fitting = || order.iter().copied().filter(|&w| fits(w, warm_too));
-                fitting().find(|&w| self.room(f, w, now) >= 0.0 || gives(w)).or_else(|| fitting().next())
+                fitting()
+                    .find(|&w| self.memory_room(f, w, now) >= 0.0 || has_replaceable(w))
+                    .or_else(|| fitting().next())
             };
-            return choose(&nearest, false).or_else(|| {
-                let all = self.by_preference(f, draw);
+            return choose(&preferred, false).or_else(|| {
+                let all = self.rank_all_workers(f, rendezvous_score);
                 choose(&all, false).or_else(|| choose(&all, true))
             });
         }
-        let order = self.by_preference(f, draw);
+        let order = self.rank_all_workers(f, rendezvous_score);
         let fitting = |warm_too| order.iter().copied().filter(|&w| fits(w, warm_too)).collect::<Vec<_>>();
-        let fitting = Some(fitting(false)).filter(|f| !f.is_empty()).unwrap_or_else(|| fitting(true));
+        let fitting =
+            Some(fitting(false)).filter(|workers| !workers.is_empty()).unwrap_or_else(|| fitting(true));
         let fitting = self.prefer_leased(fitting, now);
         let mut others: Vec<usize> = (0..self.functions.len()).filter(|&g| g != f).collect();
-        others.sort_by_key(|&g| self.functions[g].last_lost);
+        others.sort_by_key(|&g| self.functions[g].last_loss);
         for g in others {
-            let at = &self.functions[g].at;
-            let slot = |w: &&usize| at.get(w).is_some_and(|c| idle(c) && !c.spoken_for);
-            let slots: Vec<usize> = fitting.iter().filter(slot).copied().collect();
-            if let Some(w) = self.pick(&slots) {
-                if let Some(c) = self.functions[g].at.get_mut(&w) {
-                    c.spoken_for = true;
+            let copies = &self.functions[g].copies;
+            let replaceable = |w: &&usize| copies.get(w).is_some_and(|copy| idle(copy) && !copy.reserved);
+            let choices: Vec<usize> = fitting.iter().filter(replaceable).copied().collect();
+            if let Some(w) = self.pick_random(&choices) {
+                if let Some(copy) = self.functions[g].copies.get_mut(&w) {
+                    copy.reserved = true;
                 }
                 return Some(w);
             }
         }
-        self.pick(&fitting)
+        self.pick_random(&fitting)
     }
 
-    /// Memory in MB that one more copy would leave at a worker, by our own account.
-    pub(crate) fn room(&self, f: usize, w: usize, now: Micros) -> f64 {
-        let machine =
-            self.set.machine_memory_mb.get(self.workers[w].entry.machine_type).copied().unwrap_or(0.0);
-        let used = self.memory_used(w, now) + self.functions[f].memory;
-        if machine > 0.0 {
-            machine * MEMORY_FULL - used
+    /// Memory in MB that remains at a worker after one more copy, by our own account; negative if it is short.
+    pub(crate) fn memory_room(&self, f: usize, w: usize, now: Micros) -> f64 {
+        let machine_type = self.workers[w].entry.machine_type;
+        let memory_mb = self.settings.machine_memory_mb.get(machine_type).copied().unwrap_or(0.0);
+        let used = self.memory_used(w, now) + self.functions[f].memory_mb;
+        if memory_mb > 0.0 {
+            memory_mb * MAX_MEMORY_FRACTION - used
         } else {
             0.0
         }
     }
 
-    /// Drops the least recently lost idle copies at a worker while our own account shows its memory short.
+    /// Unloads idle copies of the least recently lost functions at a worker while its memory is short by our own
+    /// account.
     pub(crate) fn make_room(&mut self, f: usize, w: usize, now: Micros, out: &mut Vec<Action>) {
-        let mut room = self.room(f, w, now);
-        let mut others: Vec<usize> = self.workers[w].holds.iter().copied().filter(|&g| g != f).collect();
-        others.sort_by_key(|&g| self.functions[g].last_lost);
+        let mut room = self.memory_room(f, w, now);
+        let mut others: Vec<usize> = self.workers[w].functions.iter().copied().filter(|&g| g != f).collect();
+        others.sort_by_key(|&g| self.functions[g].last_loss);
         for g in others {
             if room >= 0.0 {
                 return;
             }
             let function = &mut self.functions[g];
-            let Some(c) = function.at.get_mut(&w) else { continue };
-            if c.warm(now) && c.ours == 0 && c.order.is_none() {
-                room += function.memory * f64::from(c.count);
-                c.count = 0;
+            let Some(copy) = function.copies.get_mut(&w) else { continue };
+            if copy.warm(now) && copy.our_inflight == 0 && copy.command.is_none() {
+                room += function.memory_mb * f64::from(copy.count);
+                copy.count = 0;
                 let worker = self.workers[w].entry.worker.clone();
                 out.push(Action::Unload { worker, function: function.id });
             }
         }
     }
 
-    /// Renews the last believed copy of a function still in use, so that its next call finds it.
-    pub(crate) fn renew(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let keep = self.keep();
+    /// Renews the last copy of each function still in use, so that its next call finds it loaded.
+    pub(crate) fn renew_last_copies(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let keep_alive = self.keep_alive();
         for f in 0..self.functions.len() {
             let function = &self.functions[f];
-            if now > function.last_call + (keep as f64 * RENEW_FOR) as Micros || !self.set.may_command {
+            let in_use = now <= function.last_call + (keep_alive as f64 * RENEW_FOR_KEEP_ALIVES) as Micros;
+            if !in_use || !self.settings.may_command {
                 continue;
             }
-            let warm =
-                |&(&w, c): &(&usize, &Copy)| c.warm(now) && self.workers[w].ready() && !self.workers[w].dead;
-            let last = function.at.iter().filter(warm).max_by_key(|(_, c)| c.expires);
-            let Some((&w, c)) = last else { continue };
-            if c.ours == 0
-                && c.order.is_none()
-                && c.expires < now + (keep as f64 * (1.0 - RENEW_AT)) as Micros
+            let warm = |&(&w, copy): &(&usize, &CopyRecord)| {
+                copy.warm(now) && self.workers[w].ready() && !self.workers[w].disconnected
+            };
+            let last = function.copies.iter().filter(warm).max_by_key(|(_, copy)| copy.expires_at);
+            let Some((&w, copy)) = last else { continue };
+            if copy.our_inflight == 0
+                && copy.command.is_none()
+                && copy.expires_at < now + (keep_alive as f64 * (1.0 - RENEW_AT)) as Micros
                 && !self.suspended(w, now)
-                && !self.rationed(now, true)
+                && !self.load_limit_reached(now, true)
             {
                 if !self.leased(w, now) {
-                    self.probe(w, now, out); // the next survey finds the answer
+                    self.probe(w, now, out); // the next refresh can use the result
                     continue;
                 }
-                self.hold(f, w, 1, now, out);
+                self.send_load(f, w, 1, now, out);
             }
         }
     }
 
-    /// The answer to a hold or a question. Guards the store: slow or failed loads cut our cap on loads out.
-    pub(crate) fn loaded(
+    /// Handles the reply to a load command or a copy query. Slow and failed loads lower the cap on loads in flight, to
+    /// protect the store that workers load from.
+    pub(crate) fn on_loaded(
         &mut self, now: Micros, w: usize, f: usize, reply: (u32, Outcome, Micros), out: &mut Vec<Action>,
     ) {
         let (count, outcome, elapsed) = reply;
-        let keep = self.belief(f);
-        let until = now + keep;
-        let Some(c) = self.functions[f].at.get_mut(&w) else { return };
-        let Some(order) = c.order.take() else { return };
-        let (Order::Ask(since) | Order::Hold(since)) = order;
-        let stood = c.count > 0;
+        let lifetime = self.copy_lifetime(f);
+        let until = now + lifetime;
+        let Some(copy) = self.functions[f].copies.get_mut(&w) else { return };
+        let Some(command) = copy.command.take() else { return };
+        let (Command::Query(sent_at) | Command::Load(sent_at)) = command;
+        let was_loaded = copy.count > 0;
         let ready = self.workers[w].ready();
-        let old = since < self.workers[w].entry.started_at;
-        // It came back without what it held: a new process that no list has told of yet.
-        let emptied = stood && count == 0 && self.workers[w].in_doubt() && outcome == Outcome::Ok;
+        let before_restart = sent_at < self.workers[w].entry.started_at;
+        // The worker replies again, but without its copies: a new process that no list update has reported yet.
+        let emptied =
+            was_loaded && count == 0 && self.workers[w].copies_unconfirmed() && outcome == Outcome::Ok;
         match outcome {
-            Outcome::Ok | Outcome::Rejected | Outcome::Error if ready && !old => {
-                c.count = count;
-                // A question does not restart the idle time: what it finds may be about to lapse.
-                let sure = if matches!(order, Order::Hold(_)) { until } else { now + keep / 2 };
-                c.seen = sure.saturating_sub(keep);
-                c.expires = if count > 0 { c.expires.max(sure) } else { 0 };
-                self.workers[w].revive(SLOW);
+            Outcome::Ok | Outcome::Rejected | Outcome::Error if ready && !before_restart => {
+                copy.count = count;
+                // A query does not restart the idle time, so what it finds may soon be unloaded.
+                let expires_at = if matches!(command, Command::Load(_)) { until } else { now + lifetime / 2 };
+                copy.confirmed_at = expires_at.saturating_sub(lifetime);
+                copy.expires_at = if count > 0 { copy.expires_at.max(expires_at) } else { 0 };
+                self.workers[w].reconnected(SLOW_RATIO);
             }
-            Outcome::ConnectFailed => self.died(w, now),
-            Outcome::Reset => self.doubt(w, now),
+            Outcome::ConnectFailed => self.mark_disconnected(w, now),
+            Outcome::Reset => self.suspect_restart(w, now),
             _ => {}
         }
         if emptied {
-            self.void(w);
+            self.forget_copies(w);
             if self.discovery_lost() {
                 self.workers[w].unreachable_since.get_or_insert(now);
             }
         }
-        if matches!(order, Order::Hold(_)) && ready {
+        if matches!(command, Command::Load(_)) && ready {
             match outcome {
-                Outcome::Ok => self.takes_work(w, since),
-                Outcome::Rejected => self.workers[w].lease.refute(since),
+                Outcome::Ok => self.confirm_ready(w, sent_at),
+                Outcome::Rejected => self.workers[w].lease.refute(sent_at),
                 _ => {}
             }
         }
-        if let Order::Hold(_) = order {
-            self.loads_out -= 1;
-            self.workers[w].orders_out -= 1;
+        if let Command::Load(_) = command {
+            self.loads_in_flight -= 1;
+            self.workers[w].loads_in_flight -= 1;
             let function = &mut self.functions[f];
             let took = elapsed as f64;
-            if outcome == Outcome::Ok && !stood && took > 20.0 * MS as f64 {
+            if outcome == Outcome::Ok && !was_loaded && took > SHORTEST_LOAD {
                 let usual = if function.load_time > 0.0 { function.load_time } else { took };
-                let slow = took > LOAD_SLOW * usual;
-                self.load_cap = if slow { self.load_cap * 0.7 } else { self.load_cap + 0.25 };
-                function.load_time = if slow { usual } else { usual + ALPHA * (took - usual) };
-            } else if outcome == Outcome::Timeout || outcome == Outcome::Error && function.proven {
-                // Of a function never served here the error may lie with the call: the store is not accused.
+                let slow = took > SLOW_LOAD_RATIO * usual;
+                self.load_cap =
+                    if slow { self.load_cap * LOAD_CAP_DECREASE } else { self.load_cap + LOAD_CAP_INCREASE };
+                function.load_time = if slow { usual } else { usual + MEAN_WEIGHT * (took - usual) };
+            } else if outcome == Outcome::Timeout || outcome == Outcome::Error && function.ever_served {
+                // If the function has never been served, the error may lie with the function, not with the store.
                 self.load_cap /= 2.0;
             } else if outcome == Outcome::Rejected {
-                self.workers[w].full_until = now + FULL_WAIT;
+                self.workers[w].no_loads_until = now + FULL_BACKOFF;
             }
-            self.load_cap = self.load_cap.clamp(LOAD_CAP.0, LOAD_CAP.1);
+            self.load_cap = self.load_cap.clamp(MIN_LOAD_CAP, MAX_LOAD_CAP);
         }
-        self.retry_held(Some(f), now, out);
+        self.place_queued(Some(f), now, out);
     }
 }
 
-/// A place in an order of workers that looks random and is the same at every front end.
-pub(crate) fn draw(function: FunctionId, worker: &str) -> u64 {
-    let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
-    let h = worker.bytes().fold(function ^ 0xcbf2_9ce4_8422_2325, mix);
-    (h ^ (h >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (h >> 32)
+/// Rendezvous hash score of a worker for a function: a preference order that looks random and is the same at every
+/// front end.
+pub(crate) fn rendezvous_score(function: FunctionId, worker: &str) -> u64 {
+    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    let hash = worker.bytes().fold(function ^ 0xcbf2_9ce4_8422_2325, mix);
+    (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (hash >> 32)
 }
 
-/// The paper's effective theta for a busy share and d instances a worker, the share clamped as designed.
-pub(crate) fn theta(busy: f64, d: f64) -> f64 {
-    let rho = busy.clamp(0.05, 0.95);
-    rho / (1.0 - rho) * (d - 1.0).max(0.0) / d.max(1.0)
+/// The algorithm's effective theta, from the busy fraction and the number of copies that fit into a worker's memory.
+/// The busy fraction is clamped to keep theta finite and positive.
+pub(crate) fn theta(busy_fraction: f64, copies_per_worker: f64) -> f64 {
+    let rho = busy_fraction.clamp(0.05, 0.95);
+    rho / (1.0 - rho) * (copies_per_worker - 1.0).max(0.0) / copies_per_worker.max(1.0)
 }
 
-/// The design's chance of a virtual loss; `star` is z*, `least` the smallest z* of all functions.
-pub(crate) fn virtual_loss_chance(d: usize, z: usize, lambda: f64, theta: f64, star: f64, least: f64) -> f64 {
-    if z as f64 > star {
+/// The probability of a virtual loss with `copies` warm copies (D), `free` of them free (Z), and `inflight` requests
+/// in flight (lambda). `min_z_star` is the smallest `z_star` of all functions.
+pub(crate) fn virtual_loss_chance(
+    copies: usize, free: usize, inflight: f64, theta: f64, z_star: f64, min_z_star: f64,
+) -> f64 {
+    if free as f64 > z_star {
         return 0.0;
     }
-    let term = |i: usize| (lambda + i as f64 * theta) / (d as f64 - i as f64 + 1.0);
-    ((1..=z).map(term).product::<f64>() * least / star).min(1.0)
+    let term = |i: usize| (inflight + i as f64 * theta) / (copies as f64 - i as f64 + 1.0);
+    ((1..=free).map(term).product::<f64>() * min_z_star / z_star).min(1.0)
 }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -3,39 +3,45 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// Where two copies may run at once and a connection broke or was spoilt within this time, answers get lost
-/// as well: an attempt then gets a second one after this multiple of its expected time, and part of its aim.
-const HEDGE: (Micros, f64, f64) = (5 * SEC, 4.0, 0.5);
+/// After a connection reset or a malformed reply, responses may get lost for this long, in microseconds. In that
+/// time requests are hedged if the settings allow it.
+const HEDGE_SPAN: Micros = 5 * SEC;
+/// An attempt is hedged after this multiple of its expected time ...
+const HEDGE_RATIO: f64 = 4.0;
+/// ... and at the earliest after this fraction of the latency target.
+const HEDGE_TARGET_FRACTION: f64 = 0.5;
+/// An attempt at a suspect is overdue after this multiple of its expected time.
+const SUSPECT_RATIO: f64 = 1.5;
 
 impl Controller {
-    /// Guards against waiting out a worker that will not answer: a repeatable request whose attempt is long
-    /// overdue, or sits at a suspect, goes to a free warm worker as well, or instead where two at once are
-    /// forbidden (it is called off first, and placed again when that is confirmed).
-    pub(crate) fn second_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let lossy = self.last_reset > 0 && now < self.last_reset + HEDGE.0;
-        let hedge = self.set.may_hedge && lossy;
+    /// Starts another attempt for each repeatable request whose only attempt is long overdue or is at a suspect:
+    /// such a worker may never respond. The attempt goes to a free warm worker. Where hedging is not allowed, the
+    /// overdue attempt is cancelled first, and the request is placed again once that is confirmed.
+    pub(crate) fn retry_overdue(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let responses_get_lost = self.last_reset_at > 0 && now < self.last_reset_at + HEDGE_SPAN;
+        let hedge = self.settings.may_hedge && responses_get_lost;
         let overdue = |(&id, r): (&RequestId, &Request)| {
-            let a = r.attempts.last().filter(|a| a.open && !r.done && !a.called_off)?;
+            let attempt = r.attempts.last().filter(|a| a.open && !r.done && !a.cancelled)?;
             let only = r.attempts.iter().filter(|a| a.open).count() == 1;
-            let worker = &self.workers[a.worker];
-            let aim = self.set.classes[r.class].latency_target as f64;
-            let patience = match () {
-                () if worker.dead || worker.slow => 1.5 * a.expected,
-                () if hedge => (HEDGE.1 * a.expected).max(HEDGE.2 * aim),
+            let worker = &self.workers[attempt.worker];
+            let target = self.settings.classes[r.class].latency_target as f64;
+            let limit = match () {
+                () if worker.disconnected || worker.slow => SUSPECT_RATIO * attempt.expected_time,
+                () if hedge => (HEDGE_RATIO * attempt.expected_time).max(HEDGE_TARGET_FRACTION * target),
                 () => f64::INFINITY,
             };
-            let waited = now.saturating_sub(a.sent.max(self.woke)) as f64;
-            let late = waited > patience.min(a.patience);
-            let limit = (r.attempts.len() as u32) < self.set.max_attempts;
-            (only && late && limit && self.set.classes[r.class].retry_safety != RetrySafety::Unsafe)
-                .then_some(id)
+            let waited = now.saturating_sub(attempt.sent_at.max(self.resumed_at)) as f64;
+            let late = waited > limit.min(attempt.overdue_after);
+            let attempts_left = (r.attempts.len() as u32) < self.settings.max_attempts;
+            let repeatable = self.settings.classes[r.class].retry_safety != RetrySafety::Unsafe;
+            (only && late && attempts_left && repeatable).then_some(id)
         };
         let ids: Vec<RequestId> = self.requests.iter().filter_map(overdue).collect();
         for id in ids {
             let f = self.requests[&id].function;
             let mut free = self.free_workers(f, now);
-            free.retain(|&w| self.allowed(id, w, now));
-            if free.is_empty() || self.retries < 1.0 {
+            free.retain(|&w| self.may_receive(id, w, now));
+            if free.is_empty() || self.retry_tokens < 1.0 {
                 continue;
             }
             let free = self.prefer_leased(free, now);
@@ -43,15 +49,15 @@
                 self.probe(free[0], now, out);
                 continue;
             }
-            if self.set.may_hedge {
-                let w = self.pick(&free).unwrap_or(free[0]);
+            if self.settings.may_hedge {
+                let w = self.pick_random(&free).unwrap_or(free[0]);
                 self.send(now, id, w, out);
-            } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.set.may_cancel) {
+            } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.settings.may_cancel) {
                 let attempt = r.attempts.len() - 1;
-                r.attempts[attempt].called_off = true;
+                r.attempts[attempt].cancelled = true;
                 out.push(Action::Cancel { id, attempt });
             }
-            self.retries -= 1.0;
+            self.retry_tokens -= 1.0;
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,145 +1,222 @@
-//! What a front end remembers: plain records, read and written by `control.rs` alone. Nothing is decided here.
+//! The records that a front end keeps: plain data, changed only by the methods of [`Controller`].
+//!
+//! Workers and functions live in slots of [`Controller::workers`] and [`Controller::functions`]. A slot
+//! number, `w` for a worker and `f` for a function, stands for them everywhere in this crate.
 use crate::interface::*;
 use crate::readiness::{Discovery, Lease};
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// An order to a worker that is out, and since when.
+/// A command in flight to a worker, with the time at which it was sent.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Order {
-    Ask(Micros),
-    Hold(Micros),
+pub(crate) enum Command {
+    /// Copy query: only asks how many copies are loaded.
+    Query(Micros),
+    /// Load command.
+    Load(Micros),
 }
 
-/// What is believed of one function at one worker: copies and until when, our requests and others' there,
-/// the order that is out, calls sent to load it, and whether its slot was given away in the LRL order.
+/// Requests of other front ends for a function at a worker, as the worker last reported them.
 #[derive(Default)]
-pub(crate) struct Copy {
+pub(crate) struct OthersInflight {
+    pub(crate) at: Micros,
     pub(crate) count: u32,
-    pub(crate) expires: Micros,
-    pub(crate) seen: Micros,
-    pub(crate) ours: u32,
-    pub(crate) others: (Micros, u32),
-    pub(crate) order: Option<Order>,
-    pub(crate) asked: Option<Micros>,
+}
+
+/// What is known of the copies of one function at one worker.
+#[derive(Default)]
+pub(crate) struct CopyRecord {
+    /// Copies assumed to be loaded until `expires_at`.
+    pub(crate) count: u32,
+    pub(crate) expires_at: Micros,
+    /// Start of the lifetime that ends at `expires_at`.
+    pub(crate) confirmed_at: Micros,
+    /// Our requests in flight.
+    pub(crate) our_inflight: u32,
+    pub(crate) others_inflight: OthersInflight,
+    /// The command in flight.
+    pub(crate) command: Option<Command>,
+    /// When the last copy query was sent.
+    pub(crate) queried_at: Option<Micros>,
+    /// Our calls in flight that are to load the function.
     pub(crate) cold_sends: u32,
-    pub(crate) spoken_for: bool,
+    /// The copy's place was chosen for a copy of another function: see `Controller::choose_load_target`.
+    pub(crate) reserved: bool,
 }
 
+/// What is known of one function.
 #[derive(Default)]
 pub(crate) struct Function {
     pub(crate) id: FunctionId,
+    /// Class of the latest call.
     pub(crate) class: usize,
-    pub(crate) memory: f64,
+    /// Memory of one copy.
+    pub(crate) memory_mb: f64,
+    /// Calls that one copy runs concurrently.
     pub(crate) lanes: u32,
+    /// Running mean of the time of a load, in microseconds; 0 if unknown.
     pub(crate) load_time: f64,
-    pub(crate) service: f64,
-    pub(crate) calls: f64,
+    /// Running mean of the response time at a loaded copy, in microseconds.
+    pub(crate) service_time: f64,
+    /// Number of recent calls, with exponential decay.
+    pub(crate) recent_calls: f64,
     pub(crate) last_call: Micros,
-    pub(crate) last_lost: Micros,
-    pub(crate) proven: bool,
-    pub(crate) at: BTreeMap<usize, Copy>,
-    /// Workers that come first in its order, highest draw first; empty until it is needed.
-    pub(crate) nearest: Vec<Preferred>,
-    /// How many are kept, once any are.
-    pub(crate) kept: usize,
-    /// Workers of the order that come before them.
+    /// When a request last found no free copy (a real loss), or a virtual loss was drawn.
+    pub(crate) last_loss: Micros,
+    /// Whether any call of it has succeeded.
+    pub(crate) ever_served: bool,
+    /// Its copies, by worker slot.
+    pub(crate) copies: BTreeMap<usize, CopyRecord>,
+    /// Head of its preference order, behind the workers skipped; empty until needed.
+    pub(crate) preferred: Vec<PreferredWorker>,
+    /// Most entries of `preferred`, once there are any.
+    pub(crate) preferred_limit: usize,
+    /// Workers at the head of the preference order that are left to other front ends.
     pub(crate) skipped: usize,
-    pub(crate) held: VecDeque<RequestId>,
+    /// Requests that wait for a copy, oldest first.
+    pub(crate) queued: VecDeque<RequestId>,
 }
 
-/// How high a worker stands in a function's order; the same at every front end.
-pub(crate) type Draw = fn(FunctionId, &str) -> u64;
+/// Rendezvous hash score of a worker for a function; the same at every front end.
+pub(crate) type ScoreFn = fn(FunctionId, &str) -> u64;
 
-/// Workers at the head of a function's order that are kept at least: ten times those asked for a copy, so that dead,
-/// cold and full ones among them leave enough. Of a function that has copies, twice as many as it has.
-pub(crate) const NEAREST: usize = 64;
+/// Fewest workers kept at the head of a function's preference order: ten times the number that is sent copy
+/// queries, so that enough remain when disconnected, cold and full workers are left out. For a function with
+/// copies, at least twice the number of copies is kept.
+pub(crate) const MIN_PREFERRED: usize = 64;
 
-/// A worker in a function's order.
+/// A worker in a function's preference order.
 #[derive(Clone, Copy)]
-pub(crate) struct Preferred {
-    draw: u64,
+pub(crate) struct PreferredWorker {
+    score: u64,
     worker: u32,
 }
 
-impl Preferred {
+impl PreferredWorker {
+    /// Sort key: highest score first, then lowest slot.
     fn rank(&self) -> (std::cmp::Reverse<u64>, u32) {
-        (std::cmp::Reverse(self.draw), self.worker)
+        (std::cmp::Reverse(self.score), self.worker)
     }
 }
 
 impl Function {
-    /// A worker has come, maybe into the slot of one that left. `all` is the number of slots.
-    fn prefer(&mut self, new: Preferred, all: usize) {
-        self.nearest.retain(|p| p.worker != new.worker);
-        if self.skipped > 0 && self.nearest.first().is_some_and(|p| new.rank() < p.rank()) {
-            return; // it belongs to those that are skipped
+    /// Enters a new worker, which may have taken the slot of a removed one. `slots` is the number of worker slots.
+    fn insert_preferred(&mut self, new: PreferredWorker, slots: usize) {
+        self.preferred.retain(|p| p.worker != new.worker);
+        if self.skipped > 0 && self.preferred.first().is_some_and(|p| new.rank() < p.rank()) {
+            return; // it ranks among the skipped workers
         }
-        // Workers behind the last one kept are not known: none may be put there, unless it is all there are.
-        let complete = self.nearest.len() + 1 >= all;
-        let before = self.nearest.partition_point(|p| p.rank() < new.rank());
-        if before < self.nearest.len() || complete {
-            self.nearest.insert(before, new);
-            self.nearest.truncate(self.kept);
+        // Workers behind the last one kept are not known, so nothing may be appended unless all workers are kept.
+        let complete = self.preferred.len() + 1 >= slots;
+        let before = self.preferred.partition_point(|p| p.rank() < new.rank());
+        if before < self.preferred.len() || complete {
+            self.preferred.insert(before, new);
+            self.preferred.truncate(self.preferred_limit);
         }
-        if self.nearest.len() < self.kept / 2 && self.nearest.len() < all {
-            self.nearest.clear(); // made anew when it is needed
+        if self.preferred.len() < self.preferred_limit / 2 && self.preferred.len() < slots {
+            self.preferred.clear(); // ranked again when needed
         }
     }
 }
 
-/// A listed worker: our attempts out by age, its last report, and how it has done of late.
+/// A load report of a worker.
+#[derive(Clone, Copy)]
+pub(crate) struct LoadReport {
+    pub(crate) at: Micros,
+    /// Requests at the worker, of all front ends.
+    pub(crate) inflight: f64,
+    /// Our requests in flight to the worker at that time.
+    pub(crate) our_inflight: usize,
+}
+
+/// Tenant and class of a call.
+pub(crate) type CallKind = (Option<usize>, usize);
+
+/// Calls of a [`CallKind`] are not sent to a worker that has rejected one.
+#[derive(Default)]
+pub(crate) struct Block {
+    pub(crate) until: Micros,
+    /// How long the latest block lasts; doubled by the next rejection.
+    pub(crate) duration: Micros,
+}
+
+/// What is known of a listed worker.
 pub(crate) struct Worker {
     pub(crate) entry: WorkerEntry,
-    pub(crate) out: BTreeSet<(Micros, RequestId, usize)>,
-    pub(crate) holds: BTreeSet<usize>,
-    pub(crate) report: Option<(Micros, f64, usize)>,
-    pub(crate) heard: Micros,
-    pub(crate) health: f64,
-    pub(crate) dead: bool,
+    /// Our attempts in flight, oldest first: when sent, request, number of the attempt.
+    pub(crate) attempts: BTreeSet<(Micros, RequestId, usize)>,
+    /// Functions with a [`CopyRecord`] for this worker.
+    pub(crate) functions: BTreeSet<usize>,
+    pub(crate) report: Option<LoadReport>,
+    /// When it last served a call.
+    pub(crate) last_response: Micros,
+    /// Running mean of response times relative to what was expected, with failures counted as slow responses:
+    /// 1 is normal, higher is worse.
+    pub(crate) slowness: f64,
+    /// Its connection was refused or lost and it has not replied since.
+    pub(crate) disconnected: bool,
+    /// Its slowness is a multiple of the median.
     pub(crate) slow: bool,
+    /// Earliest time of the next trial request to it as a suspect.
     pub(crate) next_trial: Micros,
-    pub(crate) reset: Micros,
-    pub(crate) doubted: bool,
-    pub(crate) full_until: Micros,
-    /// Until when, and how long, calls of a tenant and class stay away after they were turned away.
-    pub(crate) blocks: BTreeMap<(Option<usize>, usize), (Micros, Micros)>,
-    pub(crate) orders_out: u32,
-    pub(crate) budget: f64,
-    /// The part of a call at which its next one may go, while it is cold. Drawn for each: where every front end of
-    /// many may send less than a call, on the mean their sum is what their budgets add up to, at any moment.
-    pub(crate) draw: f64,
+    /// When a connection to it was last reset.
+    pub(crate) reset_at: Micros,
+    /// A connection to it was reset and it has not replied since: its process may have restarted.
+    pub(crate) restart_suspected: bool,
+    /// No load command is sent to it before this: it had no room for a copy.
+    pub(crate) no_loads_until: Micros,
+    pub(crate) blocks: BTreeMap<CallKind, Block>,
+    /// Our load commands in flight to it.
+    pub(crate) loads_in_flight: u32,
+    /// Slow start: work that may be sent to it while it is cold, in microseconds of service time.
+    pub(crate) cold_budget: f64,
+    /// The fraction of a call's service time that the budget must cover for the next call while the worker is cold.
+    /// Drawn at random for each call. Each of many front ends may be due less than one call; with a random threshold
+    /// the calls of all of them add up to the sum of their budgets on average, at any time.
+    pub(crate) cold_threshold: f64,
     /// What is known of its readiness while discovery is lost.
     pub(crate) lease: Lease,
-    /// While discovery is lost: since when no connection came about.
+    /// While discovery is lost: since when connections to it have failed.
     pub(crate) unreachable_since: Option<Micros>,
-    /// When a process that may have started there without a word of discovery may have started; 0: none.
+    /// Earliest start of a process that may have started without a notification by discovery; 0: none.
     pub(crate) cold_since: Micros,
 }
 
+/// One attempt of a request.
 #[derive(Clone, Default)]
 pub(crate) struct Attempt {
     pub(crate) worker: usize,
-    pub(crate) sent: Micros,
-    pub(crate) expected: f64,
-    pub(crate) patience: f64,
+    pub(crate) sent_at: Micros,
+    /// Time that it is likely to take, in microseconds.
+    pub(crate) expected_time: f64,
+    /// Time after which it is overdue, in microseconds.
+    pub(crate) overdue_after: f64,
+    /// In flight.
     pub(crate) open: bool,
     pub(crate) may_have_run: bool,
+    /// Sent to a worker that has to load the function for it.
     pub(crate) cold: bool,
-    pub(crate) ours_then: u32,
-    pub(crate) called_off: bool,
+    /// Our requests of this function in flight to the worker when it was sent, itself included.
+    pub(crate) our_inflight_then: u32,
+    pub(crate) cancelled: bool,
 }
 
+/// An open request.
 pub(crate) struct Request {
     pub(crate) function: usize,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
-    pub(crate) arrived: Micros,
-    pub(crate) ends: Micros,
+    pub(crate) arrived_at: Micros,
+    /// When the final response is due.
+    pub(crate) deadline: Micros,
+    /// The client marked it as a retry.
     pub(crate) retry: bool,
+    /// It found no free copy, and this loss has been counted.
     pub(crate) lost: bool,
+    /// The final response was given; only attempts in flight keep the record.
     pub(crate) done: bool,
+    /// Error replies so far.
     pub(crate) errors: u32,
     /// The worker whose probe it waits for, and since when.
     pub(crate) probing: Option<(usize, Micros)>,
@@ -150,38 +227,39 @@
     pub(crate) fn new(entry: WorkerEntry, now: Micros) -> Self {
         Worker {
             entry,
-            heard: now,
-            health: 1.0,
-            out: BTreeSet::new(),
-            holds: BTreeSet::new(),
+            last_response: now,
+            slowness: 1.0,
+            attempts: BTreeSet::new(),
+            functions: BTreeSet::new(),
             report: None,
-            dead: false,
+            disconnected: false,
             slow: false,
             next_trial: 0,
-            reset: 0,
-            doubted: false,
-            full_until: 0,
+            reset_at: 0,
+            restart_suspected: false,
+            no_loads_until: 0,
             blocks: BTreeMap::new(),
-            orders_out: 0,
-            budget: 0.0,
-            draw: 1.0,
-            lease: Lease::told(now),
+            loads_in_flight: 0,
+            cold_budget: 0.0,
+            cold_threshold: 1.0,
+            lease: Lease::new(now),
             unreachable_since: None,
             cold_since: 0,
         }
     }
 
-    /// Takes back that its connection was lost, and what that alone added to its health figure.
-    pub(crate) fn revive(&mut self, most: f64) {
-        if std::mem::take(&mut self.dead) | std::mem::take(&mut self.doubted) {
-            self.health = self.health.min(most);
+    /// The worker has replied after its connection was lost: clears the loss, and limits its slowness to
+    /// `max_slowness` to take back what the loss added.
+    pub(crate) fn reconnected(&mut self, max_slowness: f64) {
+        if std::mem::take(&mut self.disconnected) | std::mem::take(&mut self.restart_suspected) {
+            self.slowness = self.slowness.min(max_slowness);
             self.slow = false;
         }
     }
 
-    /// Whether a lost or broken connection leaves open what it holds.
-    pub(crate) fn in_doubt(&self) -> bool {
-        self.dead || self.doubted
+    /// Whether its connection was lost, so that its process and with it its copies may be gone.
+    pub(crate) fn copies_unconfirmed(&self) -> bool {
+        self.disconnected || self.restart_suspected
     }
 
     pub(crate) fn ready(&self) -> bool {
@@ -189,97 +267,131 @@
     }
 }
 
-impl Copy {
+impl CopyRecord {
+    /// Whether a copy is assumed to be loaded.
     pub(crate) fn warm(&self, now: Micros) -> bool {
-        self.count > 0 && (self.expires > now || self.ours > 0)
+        self.count > 0 && (self.expires_at > now || self.our_inflight > 0)
     }
 
-    pub(crate) fn holding(&self) -> bool {
-        matches!(self.order, Some(Order::Hold(_)))
+    /// Whether a load command is in flight.
+    pub(crate) fn load_pending(&self) -> bool {
+        matches!(self.command, Some(Command::Load(_)))
     }
 
-    /// Whether something of ours is out there, so that the record must stay.
+    /// Whether a request or command of ours is in flight, so that the record must stay.
     pub(crate) fn in_use(&self) -> bool {
-        self.ours > 0 || self.order.is_some() || self.cold_sends > 0
+        self.our_inflight > 0 || self.command.is_some() || self.cold_sends > 0
     }
 
+    /// Whether the first copy is being loaded.
     pub(crate) fn loading(&self) -> bool {
-        self.holding() && self.count == 0 || self.cold_sends > 0
+        self.load_pending() && self.count == 0 || self.cold_sends > 0
     }
 }
 
-/// The decision module of one front end.
+/// The decision logic of one front end.
 #[derive(Default)]
 pub struct Controller {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Option<Pcg32>,
+    /// Periodic timers so far; 0 before the first event.
     pub(crate) ticks: u32,
     pub(crate) workers: Vec<Worker>,
     pub(crate) worker_ids: BTreeMap<WorkerId, usize>,
     pub(crate) functions: Vec<Function>,
     pub(crate) function_ids: BTreeMap<FunctionId, usize>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
+    /// Workers that accept work, by the list.
     pub(crate) ready: Vec<usize>,
-    pub(crate) waiting: BTreeSet<usize>,
-    pub(crate) spare: Vec<usize>,
-    pub(crate) latest: usize,
-    pub(crate) reports: bool,
-    pub(crate) surveyed: Micros,
-    pub(crate) last_event: Micros,
-    pub(crate) woke: Micros,
-    pub(crate) logged: Micros,
-    pub(crate) instances: f64,
-    pub(crate) fade: f64,
-    pub(crate) least_star: f64,
-    pub(crate) taken: VecDeque<Micros>,
-    pub(crate) ordered: VecDeque<Micros>,
-    pub(crate) loads_out: u32,
+    /// Functions that may have queued requests.
+    pub(crate) functions_with_queue: BTreeSet<usize>,
+    /// Function slots that are not in use.
+    pub(crate) free_slots: Vec<usize>,
+    /// The function called last.
+    pub(crate) last_called: usize,
+    /// Whether any worker has reported its load.
+    pub(crate) load_reported: bool,
+    /// When the fleet statistics were last refreshed.
+    pub(crate) stats_at: Micros,
+    pub(crate) last_event_at: Micros,
+    /// When this front end last resumed after a stall.
+    pub(crate) resumed_at: Micros,
+    /// When the state of the fleet was last logged.
+    pub(crate) logged_at: Micros,
+    /// Copies of an average function that fit into an average worker's memory.
+    pub(crate) copies_per_worker: f64,
+    /// Time constant with which load reports lose weight, in microseconds.
+    pub(crate) report_decay: f64,
+    /// Smallest z* of all functions: see `Controller::virtual_loss`.
+    pub(crate) min_z_star: f64,
+    /// Arrival times of recent requests.
+    pub(crate) request_times: VecDeque<Micros>,
+    /// Times of recent load commands, for the limit on them.
+    pub(crate) load_times: VecDeque<Micros>,
+    /// Loads in flight: load commands, and calls that load the function.
+    pub(crate) loads_in_flight: u32,
+    /// Adaptive cap on `loads_in_flight`.
     pub(crate) load_cap: f64,
-    pub(crate) class_service: Vec<f64>,
-    pub(crate) tenant_rate: Vec<f64>,
-    pub(crate) busy: f64,
-    pub(crate) mean_held: f64,
-    pub(crate) median_health: f64,
-    pub(crate) distrust: bool,
+    /// Running mean of the response time of each class, in microseconds.
+    pub(crate) class_service_time: Vec<f64>,
+    /// Number of recent requests of each tenant, with exponential decay.
+    pub(crate) tenant_requests: Vec<f64>,
+    /// Running mean of the fraction of ready workers with attempts of ours in flight.
+    pub(crate) busy_fraction: f64,
+    /// Mean number of requests at a worker, by the latest reports.
+    pub(crate) mean_inflight: f64,
+    pub(crate) median_slowness: f64,
+    /// Most of the fleet looks bad, so no worker counts as a suspect.
+    pub(crate) ignore_suspicion: bool,
+    /// Running mean of the service time that one worker's capacity does for us per unit of time.
     pub(crate) work_rate: f64,
+    /// Service time of the calls served since the last refresh, in microseconds.
     pub(crate) work_done: f64,
+    /// Running mean of the calls served per second.
     pub(crate) served_rate: f64,
+    /// Calls served since the last refresh.
     pub(crate) served: f64,
+    /// Requests in flight at loaded copies, smoothed where calls are few.
     pub(crate) backlog: f64,
-    pub(crate) retries: f64,
-    pub(crate) last_reset: Micros,
-    pub(crate) questions: f64,
-    pub(crate) holds: f64,
-    pub(crate) trial_gap: Micros,
+    /// Token bucket of further attempts.
+    pub(crate) retry_tokens: f64,
+    /// When a connection to any worker was last reset.
+    pub(crate) last_reset_at: Micros,
+    /// Token bucket of copy queries.
+    pub(crate) query_tokens: f64,
+    /// Token bucket of load commands and of trial queries.
+    pub(crate) load_tokens: f64,
+    /// Time between trial requests to one suspect.
+    pub(crate) trial_interval: Micros,
     pub(crate) discovery: Discovery,
 }
 
 impl Controller {
-    /// Forgets all copies at a worker: its process died, restarted or left.
-    pub(crate) fn void(&mut self, w: usize) {
-        for f in std::mem::take(&mut self.workers[w].holds) {
-            let Some(c) = self.functions[f].at.get_mut(&w) else { continue };
-            (c.count, c.expires, c.asked) = (0, 0, None);
-            if c.in_use() {
-                self.workers[w].holds.insert(f);
+    /// Forgets all copies at a worker whose process died, restarted or was removed.
+    pub(crate) fn forget_copies(&mut self, w: usize) {
+        for f in std::mem::take(&mut self.workers[w].functions) {
+            let Some(copy) = self.functions[f].copies.get_mut(&w) else { continue };
+            (copy.count, copy.expires_at, copy.queried_at) = (0, 0, None);
+            if copy.in_use() {
+                self.workers[w].functions.insert(f);
             } else {
-                self.functions[f].at.remove(&w);
+                self.functions[f].copies.remove(&w);
             }
         }
     }
 
-    /// What is believed of a function at a worker, noted in both indexes.
-    pub(crate) fn copy(&mut self, f: usize, w: usize) -> &mut Copy {
-        self.workers[w].holds.insert(f);
-        self.functions[f].at.entry(w).or_default()
+    /// The record of a function's copies at a worker; created, in both indexes, if there is none.
+    pub(crate) fn copy_record(&mut self, f: usize, w: usize) -> &mut CopyRecord {
+        self.workers[w].functions.insert(f);
+        self.functions[f].copies.entry(w).or_default()
     }
 
-    /// The slot of a function; true if it is new.
-    pub(crate) fn slot(&mut self, id: FunctionId) -> (usize, bool) {
+    /// The slot of a function, and whether it is new.
+    pub(crate) fn function_slot(&mut self, id: FunctionId) -> (usize, bool) {
         if let Some(&f) = self.function_ids.get(&id) {
             return (f, false);
         }
-        let f = self.spare.pop().unwrap_or(self.functions.len());
+        let f = self.free_slots.pop().unwrap_or(self.functions.len());
         if f == self.functions.len() {
             self.functions.push(Function::default());
         }
@@ -287,104 +399,114 @@
         (f, true)
     }
 
-    /// Forgets the functions not called since then of which nothing is out, so that nothing grows with the past.
-    pub(crate) fn forget(&mut self, before: Micros) {
+    /// Forgets functions not called since `before` that have nothing in flight or queued. Bounds the memory.
+    pub(crate) fn forget_idle_functions(&mut self, before: Micros) {
         for f in 0..self.functions.len() {
-            let g = &self.functions[f];
-            let used = !g.held.is_empty() || g.at.values().any(Copy::in_use) || g.last_call > before;
-            if used || self.function_ids.get(&g.id) != Some(&f) {
+            let function = &self.functions[f];
+            let used = !function.queued.is_empty()
+                || function.copies.values().any(CopyRecord::in_use)
+                || function.last_call > before;
+            if used || self.function_ids.get(&function.id) != Some(&f) {
                 continue;
             }
-            self.function_ids.remove(&g.id);
-            for w in std::mem::take(&mut self.functions[f]).at.into_keys() {
-                self.workers[w].holds.remove(&f);
+            self.function_ids.remove(&function.id);
+            for w in std::mem::take(&mut self.functions[f]).copies.into_keys() {
+                self.workers[w].functions.remove(&f);
             }
-            self.spare.push(f);
+            self.free_slots.push(f);
         }
     }
 
+    /// A random number of 32 bits.
     pub(crate) fn random(&mut self) -> u64 {
-        self.rng.as_mut().map_or(0, |r| u64::from(r.next_u32()))
+        self.rng.as_mut().map_or(0, |rng| u64::from(rng.next_u32()))
     }
 
-    /// A part of one, never nothing.
-    pub(crate) fn draw(&mut self) -> f64 {
+    /// A random number above 0 and up to 1.
+    pub(crate) fn random_fraction(&mut self) -> f64 {
         (self.random() + 1) as f64 / 2f64.powi(32)
     }
 
-    pub(crate) fn pick(&mut self, from: &[usize]) -> Option<usize> {
+    /// A uniformly random element.
+    pub(crate) fn pick_random(&mut self, from: &[usize]) -> Option<usize> {
         from.get(((self.random() * from.len() as u64) >> 32) as usize).copied()
     }
 
-    pub(crate) fn order(&self, f: usize, w: usize, count: u32) -> Action {
+    /// The action that sends a load command, or a copy query if `count` is 0.
+    pub(crate) fn load_action(&self, f: usize, w: usize, count: u32) -> Action {
         Action::Load { worker: self.workers[w].entry.worker.clone(), function: self.functions[f].id, count }
     }
 
-    /// Slots of workers that are gone and to which nothing refers any more, so that nothing grows with the workers
-    /// there ever were.
-    fn vacant(&self) -> Vec<usize> {
-        let gone = |&w: &usize| self.workers[w].entry.state == WorkerState::Gone;
-        let gone: Vec<usize> = (0..self.workers.len()).filter(gone).collect();
+    /// Slots of removed workers to which nothing refers any more. Reusing them bounds the memory.
+    fn vacant_slots(&self) -> Vec<usize> {
+        let is_gone = |&w: &usize| self.workers[w].entry.state == WorkerState::Gone;
+        let gone: Vec<usize> = (0..self.workers.len()).filter(is_gone).collect();
         if gone.is_empty() {
             return gone;
         }
         let attempts = self.requests.values().flat_map(|r| r.attempts.iter().map(|a| a.worker));
-        let named: BTreeSet<usize> = attempts.collect();
-        let left = |w: &usize| {
+        let attempted: BTreeSet<usize> = attempts.collect();
+        let is_vacant = |w: &usize| {
             let (worker, functions) = (&self.workers[*w], &self.functions);
-            let used = |f: &usize| functions[*f].at.get(w).is_some_and(Copy::in_use);
-            worker.out.is_empty() && !worker.holds.iter().any(used) && !named.contains(w)
+            let used = |f: &usize| functions[*f].copies.get(w).is_some_and(CopyRecord::in_use);
+            worker.attempts.is_empty() && !worker.functions.iter().any(used) && !attempted.contains(w)
         };
-        gone.into_iter().filter(left).rev().collect()
+        gone.into_iter().filter(is_vacant).rev().collect()
     }
 
-    /// Gives a new worker a slot: a vacant one, else a new one.
-    fn admit(&mut self, e: WorkerEntry, now: Micros, vacant: &mut Vec<usize>, draw: Draw) -> usize {
-        let id = e.worker.clone();
+    /// Puts a new worker into a vacant slot, or else into a new one.
+    fn add_worker(
+        &mut self, entry: WorkerEntry, now: Micros, vacant: &mut Vec<usize>, score: ScoreFn,
+    ) -> usize {
+        let id = entry.worker.clone();
         let w = vacant.pop().unwrap_or(self.workers.len());
         if w < self.workers.len() {
-            self.void(w);
+            self.forget_copies(w);
             self.worker_ids.remove(&self.workers[w].entry.worker);
-            self.workers[w] = Worker::new(e, now);
+            self.workers[w] = Worker::new(entry, now);
         } else {
-            self.workers.push(Worker::new(e, now));
+            self.workers.push(Worker::new(entry, now));
         }
-        let all = self.workers.len();
-        for function in self.functions.iter_mut().filter(|f| !f.nearest.is_empty()) {
-            function.prefer(Preferred { draw: draw(function.id, &id), worker: w as u32 }, all);
+        let slots = self.workers.len();
+        for function in self.functions.iter_mut().filter(|f| !f.preferred.is_empty()) {
+            function.insert_preferred(
+                PreferredWorker { score: score(function.id, &id), worker: w as u32 },
+                slots,
+            );
         }
         self.worker_ids.insert(id, w);
         w
     }
 
-    /// Takes over news of the list. Returns the workers whose process is new, and those that hold nothing now.
-    pub(crate) fn listed(
-        &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, draw: Draw,
+    /// Applies an update of the worker list. Returns the workers whose process is new, and those whose copies
+    /// are gone.
+    pub(crate) fn apply_worker_list(
+        &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, score: ScoreFn,
     ) -> (Vec<usize>, Vec<usize>) {
-        let (mut seen, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
-        let mut vacant = self.vacant();
-        for e in entries {
-            let Some(&w) = self.worker_ids.get(&e.worker) else {
-                if e.state != WorkerState::Gone {
-                    let w = self.admit(e, now, &mut vacant, draw);
-                    seen.insert(w);
+        let (mut listed, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
+        let mut vacant = self.vacant_slots();
+        for entry in entries {
+            let Some(&w) = self.worker_ids.get(&entry.worker) else {
+                if entry.state != WorkerState::Gone {
+                    let w = self.add_worker(entry, now, &mut vacant, score);
+                    listed.insert(w);
                     started.push(w);
                 }
                 continue;
             };
-            seen.insert(w);
-            if e.state == WorkerState::Ready {
-                self.workers[w].lease.prove(now);
+            listed.insert(w);
+            if entry.state == WorkerState::Ready {
+                self.workers[w].lease.confirm(now);
             }
             let known = &mut self.workers[w].entry;
-            let restarted = e.started_at != known.started_at && e.started_at != 0;
-            let started_at = if restarted { e.started_at } else { known.started_at };
-            let gone = e.state == WorkerState::Gone;
-            *known = WorkerEntry { started_at, ..e };
+            let restarted = entry.started_at != known.started_at && entry.started_at != 0;
+            let started_at = if restarted { entry.started_at } else { known.started_at };
+            let gone = entry.state == WorkerState::Gone;
+            *known = WorkerEntry { started_at, ..entry };
             started.extend(restarted.then_some(w));
             emptied.extend((restarted || gone).then_some(w));
         }
-        for w in (0..self.workers.len()).filter(|w| full && !seen.contains(w)) {
+        for w in (0..self.workers.len()).filter(|w| full && !listed.contains(w)) {
             self.workers[w].entry.state = WorkerState::Gone;
             emptied.push(w);
         }
@@ -392,149 +514,162 @@
         (started, emptied)
     }
 
-    /// Memory in MB that the copies believed or loading at a worker take.
+    /// Memory in MB of the copies that are assumed to be loaded or are being loaded at a worker.
     pub(crate) fn memory_used(&self, w: usize, now: Micros) -> f64 {
-        let held = |&f: &usize| {
-            let (function, c) = (&self.functions[f], self.functions[f].at.get(&w));
-            c.map_or(0.0, |c| {
-                let standing = if c.warm(now) { f64::from(c.count) } else { 0.0 };
-                function.memory * standing.max(f64::from(u8::from(c.loading())))
+        let memory = |&f: &usize| {
+            let (function, copy) = (&self.functions[f], self.functions[f].copies.get(&w));
+            copy.map_or(0.0, |copy| {
+                let loaded = if copy.warm(now) { f64::from(copy.count) } else { 0.0 };
+                function.memory_mb * loaded.max(f64::from(u8::from(copy.loading())))
             })
         };
-        self.workers[w].holds.iter().map(held).sum()
-    }
-
-    pub(crate) fn hold(&mut self, f: usize, w: usize, count: u32, now: Micros, out: &mut Vec<Action>) {
-        self.copy(f, w).order = Some(Order::Hold(now));
-        self.ordered.push_back(now);
-        self.holds -= 1.0;
-        self.workers[w].orders_out += 1;
-        self.loads_out += 1;
-        out.push(self.order(f, w, count));
-    }
-
-    /// Records an attempt that goes out; `cold` if it is to load the function, `times` the one it is likely to
-    /// take and the one after which it is overdue.
-    pub(crate) fn sent(&mut self, now: Micros, id: RequestId, w: usize, cold: bool, times: (f64, f64)) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let function = &mut self.functions[r.function];
-        function.held.retain(|&h| h != id);
-        let c = function.at.entry(w).or_default();
-        (c.ours, c.spoken_for) = (c.ours + 1, false);
-        c.cold_sends += u32::from(cold);
-        self.loads_out += u32::from(cold);
-        let (worker, open, may_have_run, called_off, ours_then) = (w, true, true, false, c.ours);
-        let sent = now;
-        let (expected, patience) = times;
-        let a = Attempt { worker, sent, expected, patience, open, may_have_run, cold, ours_then, called_off };
-        r.attempts.push(a);
-        r.probing = None;
-        self.workers[w].holds.insert(r.function);
-        self.workers[w].out.insert((now, id, r.attempts.len() - 1));
-    }
-
-    /// All workers in the function's order, highest draw first. Made anew each time: see [`Controller::nearest`].
-    pub(crate) fn by_preference(&self, f: usize, draw: Draw) -> Vec<usize> {
+        self.workers[w].functions.iter().map(memory).sum()
+    }
+
+    /// Sends a load command.
+    pub(crate) fn send_load(&mut self, f: usize, w: usize, count: u32, now: Micros, out: &mut Vec<Action>) {
+        self.copy_record(f, w).command = Some(Command::Load(now));
+        self.load_times.push_back(now);
+        self.load_tokens -= 1.0;
+        self.workers[w].loads_in_flight += 1;
+        self.loads_in_flight += 1;
+        out.push(self.load_action(f, w, count));
+    }
+
+    /// Records an attempt that is sent; `cold` if the worker has to load the function for it. `times` are
+    /// [`Attempt::expected_time`] and [`Attempt::overdue_after`].
+    pub(crate) fn record_send(
+        &mut self, now: Micros, id: RequestId, w: usize, cold: bool, times: (f64, f64),
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let function = &mut self.functions[request.function];
+        function.queued.retain(|&queued| queued != id);
+        let copy = function.copies.entry(w).or_default();
+        (copy.our_inflight, copy.reserved) = (copy.our_inflight + 1, false);
+        copy.cold_sends += u32::from(cold);
+        self.loads_in_flight += u32::from(cold);
+        let (expected_time, overdue_after) = times;
+        request.attempts.push(Attempt {
+            worker: w,
+            sent_at: now,
+            expected_time,
+            overdue_after,
+            open: true,
+            may_have_run: true,
+            cold,
+            our_inflight_then: copy.our_inflight,
+            cancelled: false,
+        });
+        request.probing = None;
+        self.workers[w].functions.insert(request.function);
+        self.workers[w].attempts.insert((now, id, request.attempts.len() - 1));
+    }
+
+    /// All workers in the function's preference order, highest score first. Ranks them anew at each call:
+    /// [`Controller::preferred_workers`] is cheaper.
+    pub(crate) fn rank_all_workers(&self, f: usize, score: ScoreFn) -> Vec<usize> {
         let (id, workers) = (self.functions[f].id, &self.workers);
         let mut order: Vec<usize> = (0..workers.len()).collect();
-        order.sort_by_cached_key(|&w| std::cmp::Reverse(draw(id, &workers[w].entry.worker)));
+        order.sort_by_cached_key(|&w| std::cmp::Reverse(score(id, &workers[w].entry.worker)));
         order
     }
 
-    /// The first workers in the function's order behind those skipped: [`NEAREST`], or twice as many as it has
-    /// copies. Kept, and kept up as workers come: what a function takes does not grow with the fleet, and a change of
-    /// the list costs each of them one draw.
-    pub(crate) fn nearest(&mut self, f: usize, skipped: usize, draw: Draw) -> Vec<usize> {
-        self.keep_to(f, skipped, draw);
+    /// Head of the function's preference order, behind the `skipped` workers: [`MIN_PREFERRED`] workers, or at
+    /// least twice as many as it has copies. The head is cached, and updated as workers are added, so that the
+    /// cost per function does not grow with the fleet and a change of the list costs one score per function.
+    pub(crate) fn preferred_workers(&mut self, f: usize, skipped: usize, score: ScoreFn) -> Vec<usize> {
+        self.set_skipped(f, skipped, score);
         let function = &self.functions[f];
-        if function.nearest.is_empty() || 2 * function.at.len() > function.kept {
-            let kept = NEAREST.max((2 * function.at.len()).next_power_of_two());
-            let nearest = self.by_preference_from(f, skipped, kept, draw);
+        if function.preferred.is_empty() || 2 * function.copies.len() > function.preferred_limit {
+            let limit = MIN_PREFERRED.max((2 * function.copies.len()).next_power_of_two());
+            let preferred = self.rank_workers(f, skipped, limit, score);
             let function = &mut self.functions[f];
-            (function.nearest, function.kept) = (nearest, kept);
+            (function.preferred, function.preferred_limit) = (preferred, limit);
         }
-        self.functions[f].nearest.iter().map(|p| p.worker as usize).collect()
+        self.functions[f].preferred.iter().map(|p| p.worker as usize).collect()
     }
 
-    /// Sees to it that the workers skipped are these: if they were others, what is known of the function at workers
-    /// that are not among the nearest any more is left to those front ends whose nearest they are.
-    pub(crate) fn keep_to(&mut self, f: usize, skipped: usize, draw: Draw) {
+    /// Sets how many workers at the head of the preference order are left to other front ends. If the number
+    /// changes, forgets the copies at workers that are no longer preferred: they are the other front ends' concern.
+    pub(crate) fn set_skipped(&mut self, f: usize, skipped: usize, score: ScoreFn) {
         if self.functions[f].skipped == skipped {
             return;
         }
-        let nearest = self.by_preference_from(f, skipped, NEAREST, draw);
-        let ours: BTreeSet<usize> = nearest.iter().map(|p| p.worker as usize).collect();
+        let preferred = self.rank_workers(f, skipped, MIN_PREFERRED, score);
+        let ours: BTreeSet<usize> = preferred.iter().map(|p| p.worker as usize).collect();
         let function = &mut self.functions[f];
-        (function.nearest, function.kept, function.skipped) = (nearest, NEAREST, skipped);
-        for (w, c) in &mut function.at {
+        (function.preferred, function.preferred_limit, function.skipped) =
+            (preferred, MIN_PREFERRED, skipped);
+        for (w, copy) in &mut function.copies {
             if !ours.contains(w) {
-                (c.count, c.expires) = (0, 0);
+                (copy.count, copy.expires_at) = (0, 0);
             }
         }
         let workers = &mut self.workers;
-        function.at.retain(|w, c| {
-            let stays = ours.contains(w) || c.in_use();
+        function.copies.retain(|w, copy| {
+            let stays = ours.contains(w) || copy.in_use();
             if !stays {
-                workers[*w].holds.remove(&f);
+                workers[*w].functions.remove(&f);
             }
             stays
         });
     }
 
-    fn by_preference_from(&self, f: usize, skipped: usize, kept: usize, draw: Draw) -> Vec<Preferred> {
+    /// Ranks the workers for a function and returns the first `limit` of them behind the `skipped` ones.
+    fn rank_workers(&self, f: usize, skipped: usize, limit: usize, score: ScoreFn) -> Vec<PreferredWorker> {
         let id = self.functions[f].id;
-        let drawn = |(w, worker): (usize, &Worker)| Preferred {
-            draw: draw(id, &worker.entry.worker),
+        let scored = |(w, worker): (usize, &Worker)| PreferredWorker {
+            score: score(id, &worker.entry.worker),
             worker: w as u32,
         };
-        let mut order: Vec<Preferred> = self.workers.iter().enumerate().map(drawn).collect();
-        let end = skipped + kept;
+        let mut order: Vec<PreferredWorker> = self.workers.iter().enumerate().map(scored).collect();
+        let end = skipped + limit;
         if order.len() > end {
-            order.select_nth_unstable_by_key(end, Preferred::rank);
+            order.select_nth_unstable_by_key(end, PreferredWorker::rank);
             order.truncate(end);
         }
-        order.sort_unstable_by_key(Preferred::rank);
+        order.sort_unstable_by_key(PreferredWorker::rank);
         order.drain(..skipped.min(order.len()));
         order.shrink_to_fit();
         order
     }
 
-    /// Ends a request's record, or leaves it until its attempts have ended; those still out are called off.
-    pub(crate) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        r.done = true;
-        self.functions[r.function].held.retain(|&h| h != id);
-        for (n, a) in r.attempts.iter_mut().enumerate() {
-            if a.open && self.set.may_cancel && !a.called_off {
-                a.called_off = true;
+    /// Marks a request as done and cancels its attempts in flight. Its record is removed once none is left.
+    pub(crate) fn close_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.done = true;
+        self.functions[request.function].queued.retain(|&queued| queued != id);
+        for (n, attempt) in request.attempts.iter_mut().enumerate() {
+            if attempt.open && self.settings.may_cancel && !attempt.cancelled {
+                attempt.cancelled = true;
                 out.push(Action::Cancel { id, attempt: n });
             }
         }
-        if !r.attempts.iter().any(|a| a.open) {
+        if !request.attempts.iter().any(|a| a.open) {
             self.requests.remove(&id);
         }
     }
 
-    /// Holds a request of a function until it can be placed.
-    pub(crate) fn keep_held(&mut self, f: usize, id: RequestId) {
-        if !self.functions[f].held.contains(&id) {
-            self.functions[f].held.push_back(id);
-            self.waiting.insert(f);
+    /// Queues a request until it can be placed.
+    pub(crate) fn enqueue(&mut self, f: usize, id: RequestId) {
+        if !self.functions[f].queued.contains(&id) {
+            self.functions[f].queued.push_back(id);
+            self.functions_with_queue.insert(f);
         }
     }
 
-    /// Requests held for one function, or for all.
-    pub(crate) fn held(&mut self, only: Option<usize>) -> Vec<RequestId> {
+    /// Queued requests of one function, or of all.
+    pub(crate) fn queued(&mut self, only: Option<usize>) -> Vec<RequestId> {
         let functions = &self.functions;
-        self.waiting.retain(|&f| !functions[f].held.is_empty());
-        let of = self.waiting.iter().filter(|&&f| only.is_none_or(|o| o == f));
-        of.flat_map(|&f| functions[f].held.iter().copied()).collect()
+        self.functions_with_queue.retain(|&f| !functions[f].queued.is_empty());
+        let selected = self.functions_with_queue.iter().filter(|&&f| only.is_none_or(|o| o == f));
+        selected.flat_map(|&f| functions[f].queued.iter().copied()).collect()
     }
 
-    /// Ready workers believed warm for a function, and our requests in flight for it.
-    pub(crate) fn counts(&self, function: &Function, now: Micros) -> (usize, f64) {
-        let warm = |(w, c): &(&usize, &Copy)| c.warm(now) && self.workers[**w].ready();
-        let flying = function.at.values().map(|c| c.ours).sum::<u32>();
-        (function.at.iter().filter(warm).count(), f64::from(flying))
+    /// Number of ready workers assumed to have the function loaded, and our requests in flight for it.
+    pub(crate) fn copies_and_inflight(&self, function: &Function, now: Micros) -> (usize, f64) {
+        let warm = |(w, copy): &(&usize, &CopyRecord)| copy.warm(now) && self.workers[**w].ready();
+        let inflight = function.copies.values().map(|copy| copy.our_inflight).sum::<u32>();
+        (function.copies.iter().filter(warm).count(), f64::from(inflight))
     }
 }
