--- a/src/footprint.rs
+++ b/src/footprint.rs
@@ -1,29 +1,30 @@
-//! How much a controller keeps, for those who plan for larger fleets: counts of its records, and their bytes.
+//! Memory footprint of a controller, for capacity planning: counts of its records, and their size in bytes.
 use crate::interface::RequestId;
 use crate::state::{Attempt, Controller, CopyRecord, Function, PreferredWorker, Request, Worker};
 use std::mem::size_of;
 
-/// Records that a [`Controller`] keeps. Counts are exact; [`Footprint::bytes`] is worked out from them.
+/// Records that a [`Controller`] keeps. The counts are exact; [`Footprint::bytes`] is computed from them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Footprint {
-    /// Workers known, gone ones included whose place has not been taken.
+    /// Known workers, including removed ones whose slot has not been reused.
     pub workers: usize,
-    /// Functions remembered.
+    /// Known functions.
     pub functions: usize,
-    /// Pairs of a function and a worker of which something is known.
+    /// Pairs of a function and a worker with a record of copies.
     pub copies: usize,
-    /// Entries of the orders in which functions look at workers.
+    /// Cached entries of the functions' preference orders.
     pub preferences: usize,
-    /// Requests that are open.
+    /// Open requests.
     pub requests: usize,
 }
 
 impl Footprint {
-    /// Bytes that these records take, without the allocator's own and the trees' spare room.
+    /// Bytes that these records take, without the allocator's overhead and the unused capacity of the trees.
     pub fn bytes(&self) -> usize {
-        let name = 2 * 16; // a worker's name, in its entry and in the index
+        // A worker's name is kept in its entry and in the index.
+        let names = 2 * 16;
         let index = size_of::<usize>();
-        self.workers * (size_of::<Worker>() + name + 4 * index)
+        self.workers * (size_of::<Worker>() + names + 4 * index)
             + self.functions * (size_of::<Function>() + 3 * index)
             + self.copies * (size_of::<CopyRecord>() + 3 * index)
             + self.preferences * size_of::<PreferredWorker>()
@@ -32,7 +33,7 @@
 }
 
 impl Controller {
-    /// What is kept now. Walks all records.
+    /// The current footprint. Visits all records.
     pub fn footprint(&self) -> Footprint {
         let functions = || self.functions.iter();
         Footprint {
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -1,78 +1,82 @@
-//! Readiness leases: how long a worker may be taken for ready while discovery cannot tell otherwise.
+//! Readiness leases: how long a worker is assumed to be ready while discovery is lost.
 //!
-//! While discovery is current the list decides. Once it is lost, readiness is a lease for each worker on the
-//! front end's clock. It runs from the latest moment at which the worker is known to have taken work: a call
-//! that it served and an order that it carried out prove it for the moment of their sending, a probe
-//! likewise. It lasts for the grace that the drain rule gives. A drain that the front end cannot have heard of
-//! began after that moment, so whatever is sent under the lease is sent within the grace. A worker whose
-//! lease has run out is probed before it gets anything new.
+//! While discovery is current, the worker list decides. While it is lost, each worker's readiness is a lease on the
+//! front end's clock. The lease runs from the latest time at which the worker is known to have accepted work: a served
+//! call, an executed load command and a successful probe each confirm the time at which they were sent. It lasts for
+//! the drain grace of the settings. A drain that the front end cannot know of began after the lease did, so whatever is
+//! sent under the lease is sent within the grace. A worker whose lease has expired is probed before anything new is
+//! sent to it.
+use crate::control::MS;
 use crate::interface::{Action, DiscoveryState, Event, Micros, Outcome, RequestId};
 use crate::state::Controller;
 
-const MS: Micros = 1_000;
-/// Part of the grace that is left for the way from the decision to the first byte on the wire, at most.
+/// Most of the grace that is left for the time from a decision to its first byte on the wire, in microseconds.
 const LEASE_MARGIN: Micros = 100 * MS;
-/// A lease that ends sooner is not used: what is sent under it would come too late.
-const LEASE_LEFT: Micros = 20 * MS;
-/// A request waits this long for the probe of one worker before another is probed for it: several round
-/// trips.
+/// A lease that ends sooner than this is not used, in microseconds: what is sent under it would be late.
+const MIN_LEASE_LEFT: Micros = 20 * MS;
+/// A request waits this long for the probe of one worker before another worker is probed for it, in microseconds:
+/// several round trips.
 const PROBE_WAIT: Micros = 60 * MS;
-/// A worker that does not take work, or does not answer, is left alone for this long, twice as long each
-/// time, up to the second.
-const PAUSE: (Micros, Micros) = (200 * MS, 5_000 * MS);
+/// First pause before a worker is probed again that accepted no work or did not reply, in microseconds; doubled each
+/// time.
+const MIN_PROBE_PAUSE: Micros = 200 * MS;
+/// Longest such pause, in microseconds.
+const MAX_PROBE_PAUSE: Micros = 5_000 * MS;
 
 /// What is known of discovery.
 #[derive(Default)]
 pub(crate) struct Discovery {
-    /// Whether anything is reported of it: where not, the list is told by itself and never lost.
+    /// Whether the front end reports the state of discovery. If not, the worker list counts as always current.
     reported: bool,
     lost: bool,
 }
 
-/// What is known of one worker's readiness beside the list.
+/// What is known of one worker's readiness beside the worker list.
 #[derive(Default)]
 pub(crate) struct Lease {
-    /// The latest moment at which it is known to have taken work.
-    proven: Micros,
-    /// The latest moment at which it is known to have turned work away.
-    refuted: Micros,
-    /// When the probe that is out was sent.
-    probed: Option<Micros>,
-    /// Not probed again before this, and how long the pause before it was.
-    not_before: Micros,
+    /// Latest time at which the worker is known to have accepted work.
+    confirmed_at: Micros,
+    /// Latest time at which it is known to have rejected work.
+    refuted_at: Micros,
+    /// When the probe in flight was sent.
+    probe_sent_at: Option<Micros>,
+    /// While discovery is lost, nothing is sent to the worker before this.
+    suspended_until: Micros,
+    /// Length of the last suspension.
     pause: Micros,
 }
 
 impl Lease {
-    /// A worker that has just been told to be ready.
+    /// The lease of a worker that has just been listed as ready.
     pub(crate) fn new(now: Micros) -> Self {
-        Lease { proven: now, ..Lease::default() }
+        Lease { confirmed_at: now, ..Lease::default() }
     }
 
     pub(crate) fn confirm(&mut self, at: Micros) {
-        self.proven = self.proven.max(at);
+        self.confirmed_at = self.confirmed_at.max(at);
     }
 
     pub(crate) fn refute(&mut self, at: Micros) {
-        self.refuted = self.refuted.max(at);
+        self.refuted_at = self.refuted_at.max(at);
     }
 
-    fn end(&self, span: Micros) -> Micros {
-        if self.proven > self.refuted {
-            self.proven + span
+    /// When a lease of the given duration ends.
+    fn end(&self, duration: Micros) -> Micros {
+        if self.confirmed_at > self.refuted_at {
+            self.confirmed_at + duration
         } else {
             0
         }
     }
 
     fn suspend(&mut self, now: Micros) {
-        self.pause = (2 * self.pause).clamp(PAUSE.0, PAUSE.1);
-        self.not_before = now + self.pause;
+        self.pause = (2 * self.pause).clamp(MIN_PROBE_PAUSE, MAX_PROBE_PAUSE);
+        self.suspended_until = now + self.pause;
     }
 }
 
 impl Controller {
-    /// Takes over what is reported of discovery.
+    /// Handles a report of the state of discovery.
     pub(crate) fn on_discovery(&mut self, now: Micros, state: DiscoveryState) {
         self.discovery.reported = true;
         match state {
@@ -81,8 +85,8 @@
         }
     }
 
-    /// Guards against news that waits unread while the front end stood still: until discovery is heard again,
-    /// the list is only as good as it was before.
+    /// Handles a stall of this front end since the given time. Updates of discovery may wait unread, so until it
+    /// reports again the list is only known to have been current before the stall.
     pub(crate) fn on_stall(&mut self, since: Micros) {
         if self.discovery.reported {
             self.lose_discovery(since);
@@ -100,53 +104,52 @@
         self.discovery.lost
     }
 
-    /// Until when something new may begin to go to a worker on the present knowledge; `None` while discovery
-    /// is current.
+    /// Until when something new may be sent to a worker, as far as is known now; `None` while discovery is current.
     pub(crate) fn lease_end(&self, w: usize) -> Option<Micros> {
         let grace = self.settings.drain_grace;
-        let span = grace - LEASE_MARGIN.min(grace / 4);
-        self.discovery.lost.then(|| self.workers[w].lease.end(span))
+        let duration = grace - LEASE_MARGIN.min(grace / 4);
+        self.discovery.lost.then(|| self.workers[w].lease.end(duration))
     }
 
-    /// The same for those who carry out what was decided.
+    /// Until when something new may be sent to a worker, for the code that carries out actions. `None` while discovery
+    /// is current or if the worker is unknown.
     pub fn worker_lease_end(&self, worker: &str) -> Option<Micros> {
         self.worker_ids.get(worker).and_then(|&w| self.lease_end(w))
     }
 
-    /// Whether something new may go to a worker at once.
+    /// Whether something new may be sent to a worker now.
     pub(crate) fn leased(&self, w: usize, now: Micros) -> bool {
-        self.lease_end(w).is_none_or(|end| now + LEASE_LEFT < end)
+        self.lease_end(w).is_none_or(|end| now + MIN_LEASE_LEFT < end)
     }
 
-    /// Whether a worker is out of the choice because it did not take work when it was last probed.
+    /// Whether a worker is not chosen because it accepted no work when it was last probed.
     pub(crate) fn suspended(&self, w: usize, now: Micros) -> bool {
-        self.discovery.lost && now < self.workers[w].lease.not_before
+        self.discovery.lost && now < self.workers[w].lease.suspended_until
     }
 
-    /// Of these workers those that may get something at once, if there are any.
-    pub(crate) fn prefer_leased(&self, among: Vec<usize>, now: Micros) -> Vec<usize> {
+    /// Those of the workers that something may be sent to now; all of them if there is none.
+    pub(crate) fn prefer_leased(&self, workers: Vec<usize>, now: Micros) -> Vec<usize> {
         if !self.discovery.lost {
-            return among;
+            return workers;
         }
-        let leased: Vec<usize> = among.iter().copied().filter(|&w| self.leased(w, now)).collect();
+        let leased: Vec<usize> = workers.iter().copied().filter(|&w| self.leased(w, now)).collect();
         if leased.is_empty() {
-            among
+            workers
         } else {
             leased
         }
     }
 
-    /// Probes a worker, unless that is under way.
+    /// Probes a worker, unless a probe is in flight.
     pub(crate) fn probe(&mut self, w: usize, now: Micros, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
-        if self.settings.may_probe && worker.lease.probed.is_none() {
-            worker.lease.probed = Some(now);
+        if self.settings.may_probe && worker.lease.probe_sent_at.is_none() {
+            worker.lease.probe_sent_at = Some(now);
             out.push(Action::Probe { worker: worker.entry.worker.clone() });
         }
     }
 
-    /// Whether a request may go to a worker at once. If not, the worker is probed and the request held for
-    /// that.
+    /// Whether a request may be sent to a worker now. If not, the worker is probed and the request queued until then.
     pub(crate) fn ensure_ready(
         &mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>,
     ) -> bool {
@@ -162,37 +165,37 @@
         false
     }
 
-    /// Of these workers those among which a request may choose: once it has waited for a probe, the one that
-    /// was probed for it if that proved ready, or its random choice would fall to the workers that others
-    /// have proven. `None` while the answer may still come soon.
+    /// Those of the workers among which a request may choose. After a probe for it, only the probed worker if it is
+    /// ready; a random choice would favour workers that were confirmed for other requests. `None` while the result of
+    /// the probe may still arrive soon.
     pub(crate) fn choices_after_probe(
-        &self, id: RequestId, among: Vec<usize>, now: Micros,
+        &self, id: RequestId, workers: Vec<usize>, now: Micros,
     ) -> Option<Vec<usize>> {
-        let Some((w, since)) = self.requests.get(&id).and_then(|request| request.probing) else {
-            return Some(among);
+        let Some((probed, since)) = self.requests.get(&id).and_then(|request| request.probing) else {
+            return Some(workers);
         };
-        if !among.contains(&w) {
-            return Some(self.prefer_leased(among, now));
+        if !workers.contains(&probed) {
+            return Some(self.prefer_leased(workers, now));
         }
-        if self.leased(w, now) {
-            return Some(vec![w]);
+        if self.leased(probed, now) {
+            return Some(vec![probed]);
         }
-        let under_way = self.workers[w].lease.probed.is_some() && now < since + PROBE_WAIT;
-        (!under_way).then(|| self.prefer_leased(among, now))
+        let awaited = self.workers[probed].lease.probe_sent_at.is_some() && now < since + PROBE_WAIT;
+        (!awaited).then(|| self.prefer_leased(workers, now))
     }
 
-    /// The answer to a probe, or its want.
+    /// Handles the result of a probe.
     pub(crate) fn on_probed(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let Event::Probed { worker, outcome, inflight } = event else { return };
         let Some(&w) = self.worker_ids.get(&worker) else { return };
-        let Some(sent) = self.workers[w].lease.probed.take() else { return };
+        let Some(sent_at) = self.workers[w].lease.probe_sent_at.take() else { return };
         if outcome == Outcome::Ok {
-            self.confirm_ready(w, sent);
+            self.confirm_ready(w, sent_at);
             let lease = &mut self.workers[w].lease;
-            (lease.pause, lease.not_before) = (0, 0);
+            (lease.pause, lease.suspended_until) = (0, 0);
         } else {
             let lease = &mut self.workers[w].lease;
-            lease.refute(sent);
+            lease.refute(sent_at);
             lease.suspend(now);
         }
         self.record_report(w, now, inflight);
@@ -202,11 +205,11 @@
         self.place_queued(None, now, out);
     }
 
-    /// A worker is known to have taken work that was sent to it at `sent`. Without discovery, one that could
-    /// not be reached before may be a new process, of whose start nobody tells: it counts as cold.
-    pub(crate) fn confirm_ready(&mut self, w: usize, sent: Micros) {
+    /// Records that a worker accepted work that was sent to it at `sent_at`. While discovery is lost, a worker that
+    /// could not be reached before may be a new process whose start was not reported, so it counts as cold.
+    pub(crate) fn confirm_ready(&mut self, w: usize, sent_at: Micros) {
         let worker = &mut self.workers[w];
-        worker.lease.confirm(sent);
+        worker.lease.confirm(sent_at);
         if let Some(since) = worker.unreachable_since.take() {
             worker.cold_since = worker.cold_since.max(since);
             worker.cold_budget = 0.0;
