--- a/src/admission.rs
+++ b/src/admission.rs
@@ -4,8 +4,8 @@
 
 /// Mean number of requests at a worker, over all front ends, below which none is refused: about one per core.
 pub(crate) const MIN_INFLIGHT_TO_REFUSE: f64 = 4.0;
-/// Multiples of the mean latency target. Requests are refused when the time from send to response exceeds them.
-/// This one holds for traffic beyond a tenant's quota.
+/// Multiples of the mean latency target. Requests are refused when the time from send to response exceeds
+/// them. This one holds for traffic beyond a tenant's quota.
 const OVER_QUOTA_LIMIT: f64 = 0.6;
 /// The same for the class that earns the least worth per unit of service time.
 const LEAST_WORTH_LIMIT: f64 = 0.8;
@@ -13,19 +13,20 @@
 const MOST_WORTH_LIMIT: f64 = 1.3;
 /// A class ranks above another if it earns more than this multiple of its worth per unit of service time.
 const RANK_RATIO: f64 = 1.2;
-/// Periodic timers after the start before requests are refused: until then the pace of the fleet is not known.
+/// Periodic timers after the start before requests are refused: until then the pace of the fleet is not
+/// known.
 const WARM_UP_TICKS: u32 = 100;
 
 impl Controller {
-    /// Whether a request is to be refused because at the recent pace the requests in flight take longer than the
-    /// latency targets. This keeps queues from growing without bound. The least valuable requests are refused first:
-    /// those beyond a tenant's quota, then those of the class with the least worth per unit of service time. Nothing
-    /// is refused while few requests are in flight or the pace is not known yet.
+    /// Whether a request is to be refused because at the recent pace the requests in flight take longer than
+    /// the latency targets. This keeps queues from growing without bound. The least valuable requests are
+    /// refused first: those beyond a tenant's quota, then those of the class with the least worth per unit of
+    /// service time. Nothing is refused while few requests are in flight or the pace is not known yet.
     pub(crate) fn overloaded(
         &self, class: usize, tenant: Option<usize>, timeout: f64, service_time: f64,
     ) -> bool {
-        // Workers report the requests of all front ends. Without reports, every front end is assumed to have as many
-        // in flight as this one.
+        // Workers report the requests of all front ends. Without reports, every front end is assumed to have
+        // as many in flight as this one.
         let estimate =
             self.backlog * f64::from(self.settings.front_ends.max(1)) / self.ready.len().max(1) as f64;
         let inflight = if self.load_reported { self.mean_inflight } else { estimate };
@@ -47,9 +48,9 @@
         timeout < service_time || wait > limit * total_target / classes.len().max(1) as f64
     }
 
-    /// Whether a tenant sends more of our traffic than its share of all quotas, by more than chance explains. Its
-    /// rate here is not compared with its quota: traffic is spread unevenly, so the rate at one front end says
-    /// nothing about the rate at all of them.
+    /// Whether a tenant sends more of our traffic than its share of all quotas, by more than chance explains.
+    /// Its rate here is not compared with its quota: traffic is spread unevenly, so the rate at one front end
+    /// says nothing about the rate at all of them.
     pub(crate) fn over_quota(&self, tenant: usize) -> bool {
         let quotas: f64 = self.settings.tenants.iter().map(|t| t.quota_per_s.max(0.0)).sum();
         let share = self.settings.tenants[tenant].quota_per_s / quotas;
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,10 +1,11 @@
-//! Entry point of the decision logic: [`Controller::handle`] takes events, the other modules decide, and actions are
-//! returned.
+//! Entry point of the decision logic: [`Controller::handle`] takes events, the other modules decide, and
+//! actions are returned.
 //!
-//! The main path follows the paper on adaptive replication in loss networks. A request goes to a uniformly random
-//! worker among those that are assumed to have the function loaded with a free lane: see `placement`. If there is
-//! none, that is a loss. Losses, real or virtual, add copies where the least recently lost function is idle: see
-//! `replication`. Everything else protects this path: admission, slow start, health, retries and readiness.
+//! The main path follows the paper on adaptive replication in loss networks. A request goes to a uniformly
+//! random worker among those that are assumed to have the function loaded with a free lane: see `placement`.
+//! If there is none, that is a loss. Losses, real or virtual, add copies where the least recently lost
+//! function is idle: see `replication`. Everything else protects this path: admission, slow start, health,
+//! retries and readiness.
 use crate::admission::MIN_INFLIGHT_TO_REFUSE;
 use crate::fleet_stats::MAX_RATE_SPAN;
 use crate::health::{AttemptResult, ALL_CALLS, TRIAL_INTERVAL};
@@ -104,9 +105,9 @@
             Event::Timer { token } if self.requests.get(&(token >> 1)).is_none_or(|r| now < r.deadline) => {}
             Event::Timer { token } => self.finish(token >> 1, out),
             Event::Loaded { worker, function, count, outcome, elapsed } => {
-                let known = (self.worker_ids.get(&worker), self.function_ids.get(&function));
-                if let (Some(&w), Some(&f)) = known {
-                    self.on_loaded(now, w, f, (count, outcome, elapsed), out);
+                let known = (self.worker_slots.get(&worker), self.function_slots.get(&function));
+                if let (Some(&worker_slot), Some(&function_slot)) = known {
+                    self.on_loaded(now, worker_slot, function_slot, (count, outcome, elapsed), out);
                 }
             }
         }
@@ -117,16 +118,16 @@
         &mut self, now: Micros, full: bool, entries: Vec<WorkerEntry>, out: &mut Vec<Action>,
     ) {
         let (started, emptied) = self.apply_worker_list(now, full, entries, rendezvous_score);
-        for w in started {
+        for worker_slot in started {
             // A new process: it has no copies, and its earlier slowness and reports no longer hold.
             let threshold = self.random_fraction();
-            let worker = &mut self.workers[w];
+            let worker = &mut self.workers[worker_slot];
             (worker.disconnected, worker.slow) = (false, false);
             (worker.slowness, worker.cold_budget) = (1.0, 0.0);
             worker.cold_threshold = threshold;
             worker.report = None;
         }
-        emptied.into_iter().for_each(|w| self.forget_copies(w));
+        emptied.into_iter().for_each(|worker_slot| self.forget_copies(worker_slot));
         self.place_queued(None, now, out);
     }
 
@@ -140,20 +141,21 @@
         let class = class.min(self.settings.classes.len() - 1);
         let positive_or =
             |value: f64, other: f64| if value.is_finite() && value > 0.0 { value } else { other };
-        let (f, new) = self.function_slot(function);
+        let (function_slot, new) = self.find_or_add_function(function);
         if new {
             let (service_time, load_time) = (self.class_service_time[class], load_time.min(MAX_TIME) as f64);
-            self.functions[f] = Function { id: function, service_time, load_time, ..Function::default() };
+            self.functions[function_slot] =
+                Function { id: function, service_time, load_time, ..Function::default() };
         }
-        self.last_called = f;
-        let known = &mut self.functions[f];
+        self.last_called = function_slot;
+        let known = &mut self.functions[function_slot];
         (known.memory_mb, known.lanes) = (positive_or(memory_mb, known.memory_mb), lanes.clamp(1, MAX_LANES));
         let past = now.saturating_sub(known.last_call) as f64;
         known.recent_calls = known.recent_calls * (-past / MAX_RATE_SPAN as f64).exp() + 1.0;
         (known.class, known.last_call) = (class, now);
-        self.set_skipped(f, self.our_share(f).0, rendezvous_score);
-        let lifetime = self.copy_lifetime(f);
-        for copy in self.functions[f].copies.values_mut().filter(|copy| copy.count > 0) {
+        self.set_skipped(function_slot, self.our_share(function_slot).0, rendezvous_score);
+        let lifetime = self.copy_lifetime(function_slot);
+        for copy in self.functions[function_slot].copies.values_mut().filter(|copy| copy.count > 0) {
             copy.expires_at = copy.expires_at.max(copy.confirmed_at + lifetime);
         }
         self.request_times.push_back(now);
@@ -168,7 +170,7 @@
         let tenant = tenant.filter(|&t| t < self.tenant_requests.len());
         tenant.into_iter().for_each(|t| self.tenant_requests[t] += 1.0);
         let request = Request {
-            function: f,
+            function: function_slot,
             class,
             tenant,
             arrived_at: now,
@@ -181,20 +183,21 @@
             attempts: Vec::new(),
         };
         self.requests.insert(id, request);
-        let service_time = self.functions[f].service_time;
+        let service_time = self.functions[function_slot].service_time;
         if timeout <= RESPONSE_MARGIN || self.overloaded(class, tenant, timeout as f64, service_time) {
             return self.finish(id, out);
         }
         // Whatever else happens, this timer ends the request in time.
         out.push(Action::Timer { delay: deadline - now, token: id << 1 | 1 });
-        if self.virtual_loss(f, now) {
-            self.functions[f].last_loss = now;
-            self.add_copy(f, now, None, out);
+        if self.virtual_loss(function_slot, now) {
+            self.functions[function_slot].last_loss = now;
+            self.add_copy(function_slot, now, None, out);
         }
         self.place(now, id, out);
     }
 
-    /// Gives the final response: refused if no attempt can have run, else failed. Attempts in flight are cancelled.
+    /// Gives the final response: refused if no attempt can have run, else failed. Attempts in flight are
+    /// cancelled.
     pub(crate) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.done) else { return };
         let may_have_run = request.attempts.iter().any(|a| a.may_have_run);
@@ -218,21 +221,25 @@
             matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
         attempt.may_have_run = !did_not_run;
         request.errors += u32::from(outcome == Outcome::Error);
-        let (w, f, kind) = (attempt.worker, request.function, (request.tenant, request.class));
+        let (worker_slot, function_slot, kind) =
+            (attempt.worker, request.function, (request.tenant, request.class));
         let attempt = attempt.clone();
-        self.workers[w].attempts.remove(&(attempt.sent_at, id, number));
-        let before_restart = attempt.sent_at < self.workers[w].entry.started_at;
-        let until = now + self.copy_lifetime(f);
-        let copy = self.functions[f].copies.get_mut(&w).expect("a record of every worker with an attempt");
+        self.workers[worker_slot].attempts.remove(&(attempt.sent_at, id, number));
+        let before_restart = attempt.sent_at < self.workers[worker_slot].entry.started_at;
+        let until = now + self.copy_lifetime(function_slot);
+        let copy = self.functions[function_slot]
+            .copies
+            .get_mut(&worker_slot)
+            .expect("a record of every worker with an attempt");
         copy.our_inflight -= 1;
         copy.cold_sends -= u32::from(attempt.cold);
         self.loads_in_flight -= u32::from(attempt.cold);
         let mut served = false;
-        if self.workers[w].ready() && !before_restart {
+        if self.workers[worker_slot].ready() && !before_restart {
             match outcome {
                 Outcome::Ok => {
                     served = true;
-                    self.workers[w].blocks.retain(|&key, _| key != kind && key != ALL_CALLS);
+                    self.workers[worker_slot].blocks.retain(|&key, _| key != kind && key != ALL_CALLS);
                     copy.count = copy.count.max(1);
                     (copy.expires_at, copy.confirmed_at) = (copy.expires_at.max(until), now);
                 }
@@ -245,38 +252,40 @@
             }
         }
         if served {
-            self.confirm_ready(w, attempt.sent_at);
+            self.confirm_ready(worker_slot, attempt.sent_at);
         }
         if outcome == Outcome::Rejected {
-            self.workers[w].lease.refute(attempt.sent_at);
-            self.record_rejection(w, kind, now);
+            self.workers[worker_slot].lease.refute(attempt.sent_at);
+            self.record_rejection(worker_slot, kind, now);
         }
-        self.record_report(w, now, inflight);
+        self.record_report(worker_slot, now, inflight);
         if !before_restart {
             let request_done = self.requests.get(&id).is_none_or(|r| r.done);
             let loaded_for_it = attempt.cold || warm == Some(false);
             let result = AttemptResult { outcome, elapsed, request_done, loaded_for_it };
-            self.update_slowness(now, f, &attempt, result);
+            self.update_slowness(now, function_slot, &attempt, result);
         }
         self.served += f64::from(u8::from(outcome == Outcome::Ok));
-        self.functions[f].ever_served |= outcome == Outcome::Ok;
+        self.functions[function_slot].ever_served |= outcome == Outcome::Ok;
         match closed || self.requests[&id].done {
             true => self.close_request(id, out),
             false => self.place(now, id, out),
         }
-        self.place_queued(Some(f), now, out);
+        self.place_queued(Some(function_slot), now, out);
     }
 
     /// Records a worker's load report, if there is one.
-    pub(crate) fn record_report(&mut self, w: usize, now: Micros, inflight: Option<f64>) {
+    pub(crate) fn record_report(&mut self, worker_slot: usize, now: Micros, inflight: Option<f64>) {
         if let Some(inflight) = inflight.filter(|count| count.is_finite()) {
-            let our_inflight = self.workers[w].attempts.len();
-            self.workers[w].report = Some(LoadReport { at: now, inflight: inflight.max(0.0), our_inflight });
+            let our_inflight = self.workers[worker_slot].attempts.len();
+            self.workers[worker_slot].report =
+                Some(LoadReport { at: now, inflight: inflight.max(0.0), our_inflight });
             self.load_reported = true;
         }
     }
 
-    /// Handles the periodic timer: further attempts and queued requests, and from time to time the fleet statistics.
+    /// Handles the periodic timer: further attempts and queued requests, and from time to time the fleet
+    /// statistics.
     pub(crate) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.ticks = self.ticks.saturating_add(1);
         if now >= self.stats_at + STATS_PERIOD {
--- a/src/fleet_stats.rs
+++ b/src/fleet_stats.rs
@@ -12,11 +12,12 @@
 pub(crate) const MIN_RATE_SPAN: Micros = 2 * SEC;
 /// Longest time over which rates are taken, in microseconds.
 pub(crate) const MAX_RATE_SPAN: Micros = 8 * SEC;
-/// Bounds of the time constant with which load reports lose weight, in microseconds. Between them it is the time in
-/// which our calls reach every worker once.
+/// Bounds of the time constant with which load reports lose weight, in microseconds. Between them it is the
+/// time in which our calls reach every worker once.
 pub(crate) const MIN_REPORT_DECAY: f64 = 2.0 * SEC as f64;
 const MAX_REPORT_DECAY: f64 = 15.0 * SEC as f64;
-/// A worker's last report counts in the mean for this long, in microseconds: few calls may go to many workers.
+/// A worker's last report counts in the mean for this long, in microseconds: few calls may go to many
+/// workers.
 const REPORT_LIFETIME: Micros = 20 * SEC;
 /// A function is forgotten this many keep-alives after its last call.
 const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
@@ -26,8 +27,8 @@
 const LOG_INTERVAL: Micros = 10 * SEC;
 
 impl Controller {
-    /// Refreshes the statistics over the span `past` since the last refresh, and each worker's budget and slowness;
-    /// then sends trial queries and renews copies.
+    /// Refreshes the statistics over the span `past` since the last refresh, and each worker's budget and
+    /// slowness; then sends trial queries and renews copies.
     pub(crate) fn refresh_fleet_stats(&mut self, now: Micros, past: Micros, out: &mut Vec<Action>) {
         let longest_span = self.settings.load_window.max(MAX_RATE_SPAN);
         while self.request_times.front().is_some_and(|&t| t + longest_span < now) {
@@ -35,8 +36,9 @@
         }
         let ready = std::mem::take(&mut self.ready);
         let ready_count = ready.len().max(1) as f64;
-        let busy =
-            ready.iter().filter(|&&w| !self.workers[w].attempts.is_empty()).count() as f64 / ready_count;
+        let busy = ready.iter().filter(|&&worker_slot| !self.workers[worker_slot].attempts.is_empty()).count()
+            as f64
+            / ready_count;
         let calls = self.request_times.iter().rev().take_while(|&&t| t + MAX_RATE_SPAN > now).count() as f64;
         let span = (RATE_CALLS / calls.max(1.0) * MAX_RATE_SPAN as f64)
             .clamp(MIN_RATE_SPAN as f64, MAX_RATE_SPAN as f64);
@@ -44,18 +46,20 @@
         self.report_decay =
             (ready_count / calls.max(1.0) * MAX_RATE_SPAN as f64).clamp(MIN_REPORT_DECAY, MAX_REPORT_DECAY);
         self.busy_fraction += (BUSY_WEIGHT * weight).min(1.0) * (busy - self.busy_fraction);
-        // Each worker counts once, by its last report. A mean over reports would be biased towards the workers that
-        // we send most to.
+        // Each worker counts once, by its last report. A mean over reports would be biased towards the
+        // workers that we send most to.
         let last_inflight = |worker: &Worker| {
             worker.report.filter(|report| now < report.at + REPORT_LIFETIME).map(|report| report.inflight)
         };
-        let inflight: Vec<f64> = ready.iter().filter_map(|&w| last_inflight(&self.workers[w])).collect();
+        let inflight: Vec<f64> =
+            ready.iter().filter_map(|&worker_slot| last_inflight(&self.workers[worker_slot])).collect();
         self.mean_inflight = if inflight.is_empty() {
             MIN_INFLIGHT_TO_REFUSE
         } else {
             inflight.iter().sum::<f64>() / inflight.len() as f64
         };
-        let capacity: f64 = ready.iter().map(|&w| self.capacity_share(w, now).unwrap_or(1.0)).sum();
+        let capacity: f64 =
+            ready.iter().map(|&worker_slot| self.capacity_share(worker_slot, now).unwrap_or(1.0)).sum();
         self.work_rate += weight * (self.work_done / capacity.max(1.0) / past as f64 - self.work_rate);
         self.served_rate += weight * (self.served * SEC as f64 / past as f64 - self.served_rate);
         (self.work_done, self.served) = (0.0, 0.0);
@@ -63,7 +67,8 @@
             *requests *= 1.0 - weight;
         }
         let known_functions = self.functions.len().saturating_sub(self.free_slots.len()).max(1) as f64;
-        let mean_memory_mb = self.functions.iter().map(|f| f.memory_mb).sum::<f64>() / known_functions;
+        let mean_memory_mb =
+            self.functions.iter().map(|function| function.memory_mb).sum::<f64>() / known_functions;
         let machines = &self.settings.machine_memory_mb;
         self.copies_per_worker =
             machines.iter().sum::<f64>() / machines.len().max(1) as f64 / mean_memory_mb.max(1.0);
@@ -83,21 +88,24 @@
         let backlog_weight = (past as f64 / (span * scarcity).max(1.0)).min(1.0);
         let backlog = self.requests.values().filter(recent_and_warm).count() as f64;
         self.backlog += backlog_weight * (backlog - self.backlog);
-        let mut slowness: Vec<f64> = ready.iter().map(|&w| self.workers[w].slowness).collect();
+        let mut slowness: Vec<f64> =
+            ready.iter().map(|&worker_slot| self.workers[worker_slot].slowness).collect();
         slowness.sort_by(f64::total_cmp);
         self.median_slowness = slowness.get(slowness.len() / 2).copied().unwrap_or(1.0).max(1.0);
         // The last class stands for unknown ones.
         let known_classes = 1.max(self.class_service_time.len() - 1);
         let longest_class = self.class_service_time[..known_classes].iter().copied().fold(0.0, f64::max);
         let mut bad = 0;
-        for &w in &ready {
-            self.refill_budget(w, longest_class, past, now);
-            self.refresh_slowness(w, past, now);
-            let worker = &self.workers[w];
+        for &worker_slot in &ready {
+            self.refill_budget(worker_slot, longest_class, past, now);
+            self.refresh_slowness(worker_slot, past, now);
+            let worker = &self.workers[worker_slot];
             bad += usize::from(worker.disconnected || worker.slow);
         }
         self.ignore_suspicion = bad * 2 > ready.len();
-        let slow = |&&w: &&usize| self.workers[w].slow && !self.workers[w].disconnected;
+        let slow = |&&worker_slot: &&usize| {
+            self.workers[worker_slot].slow && !self.workers[worker_slot].disconnected
+        };
         let slow_workers = ready.iter().filter(slow).count();
         let interval = slow_workers as f64 * MAX_RATE_SPAN as f64 / (TRIAL_SHARE * calls.max(1.0));
         self.trial_interval = TRIAL_INTERVAL.max(interval as Micros).min(MAX_TIME);
--- a/src/footprint.rs
+++ b/src/footprint.rs
@@ -38,9 +38,9 @@
         let functions = || self.functions.iter();
         Footprint {
             workers: self.workers.len(),
-            functions: self.function_ids.len(),
-            copies: functions().map(|f| f.copies.len()).sum(),
-            preferences: functions().map(|f| f.preferred.len()).sum(),
+            functions: self.function_slots.len(),
+            copies: functions().map(|function| function.copies.len()).sum(),
+            preferences: functions().map(|function| function.preferred.len()).sum(),
             requests: self.requests.len(),
         }
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -10,16 +10,16 @@
 const CROWDED_RATIO: f64 = 1.25;
 /// ... by more than this many.
 const CROWDED_EXCESS: f64 = 0.75;
-/// The same where few front ends serve the workers. Each of them sends a large part of a worker's requests itself, and
-/// with a tighter bound ordinary unevenness caused losses, and with them loads.
+/// The same where few front ends serve the workers. Each of them sends a large part of a worker's requests
+/// itself, and with a tighter bound ordinary unevenness caused losses, and with them loads.
 const CROWDED_RATIO_FEW: f64 = 2.0;
 const CROWDED_EXCESS_FEW: f64 = 1.5;
 /// Most front ends that count as few.
 pub(crate) const FEW_FRONT_ENDS: u32 = 16;
 /// A request is queued without an attempt for at most this fraction of the time to its deadline.
 const MAX_QUEUED_FRACTION: f64 = 0.45;
-/// The same for a function that has never been served here, in microseconds: perhaps no worker knows the function, and
-/// a response is due within 3 s.
+/// The same for a function that has never been served here, in microseconds: perhaps no worker knows the
+/// function, and a response is due within 3 s.
 const MAX_QUEUED_NEVER_SERVED: Micros = 2_700 * MS;
 /// A request ends after this many attempts that did not run.
 const MAX_REJECTIONS: usize = 3;
@@ -33,7 +33,8 @@
 const MIN_OVERDUE_SERVICE_TIME: f64 = 50.0 * MS as f64;
 
 impl CopyRecord {
-    /// Whether a lane is free: not taken by our requests, nor by those of other front ends if reported recently.
+    /// Whether a lane is free: not taken by our requests, nor by those of other front ends if reported
+    /// recently.
     pub(crate) fn has_free_lane(&self, now: Micros, lanes: u32) -> bool {
         let recent = now < self.others_inflight.at + OTHERS_LIFETIME;
         let others = if recent { self.others_inflight.count } else { 0 };
@@ -42,30 +43,35 @@
 }
 
 impl Controller {
-    /// Whether a worker may be sent a call of this class now. A draining worker gets nothing from the moment that the
-    /// drain is known. A cold worker gets only what its budget allows. A suspect gets only trial requests, unless most
-    /// of the fleet looks bad: then it is the judgement that is wrong.
-    pub(crate) fn usable(&self, w: usize, class: usize, now: Micros) -> bool {
-        let worker = &self.workers[w];
-        let over_budget = self.capacity_share(w, now).is_some()
+    /// Whether a worker may be sent a call of this class now. A draining worker gets nothing from the moment
+    /// that the drain is known. A cold worker gets only what its budget allows. A suspect gets only trial
+    /// requests, unless most of the fleet looks bad: then it is the judgement that is wrong.
+    pub(crate) fn usable(&self, worker_slot: usize, class: usize, now: Micros) -> bool {
+        let worker = &self.workers[worker_slot];
+        let over_budget = self.capacity_share(worker_slot, now).is_some()
             && worker.cold_budget < worker.cold_threshold * self.class_service_time[class];
         let safe = self.settings.classes[class].retry_safety == RetrySafety::Safe;
         let trial = safe && !worker.disconnected && worker.attempts.is_empty() && now >= worker.next_trial;
-        worker.ready() && !over_budget && !self.suspended(w, now) && (!self.is_suspect(w) || trial)
+        worker.ready()
+            && !over_budget
+            && !self.suspended(worker_slot, now)
+            && (!self.is_suspect(worker_slot) || trial)
     }
 
-    /// Whether a worker has more requests than the mean, because other front ends load it or because it is slow.
-    pub(crate) fn is_crowded(&self, w: usize, now: Micros) -> bool {
+    /// Whether a worker has more requests than the mean, because other front ends load it or because it is
+    /// slow.
+    pub(crate) fn is_crowded(&self, worker_slot: usize, now: Micros) -> bool {
         let few = (2..=FEW_FRONT_ENDS).contains(&self.settings.front_ends);
         let (ratio, excess) =
             if few { (CROWDED_RATIO_FEW, CROWDED_EXCESS_FEW) } else { (CROWDED_RATIO, CROWDED_EXCESS) };
-        self.estimated_inflight(w, now) * self.workers[w].slowness > self.mean_inflight * ratio + excess
+        self.estimated_inflight(worker_slot, now) * self.workers[worker_slot].slowness
+            > self.mean_inflight * ratio + excess
     }
 
     /// Estimated requests at a worker: its last report, decaying to the mean, and the change of ours since.
-    pub(crate) fn estimated_inflight(&self, w: usize, now: Micros) -> f64 {
-        let ours = self.workers[w].attempts.len() as f64;
-        let estimate = self.workers[w].report.map(|report| {
+    pub(crate) fn estimated_inflight(&self, worker_slot: usize, now: Micros) -> f64 {
+        let ours = self.workers[worker_slot].attempts.len() as f64;
+        let estimate = self.workers[worker_slot].report.map(|report| {
             let age = now.saturating_sub(report.at) as f64;
             let weight = (-age / self.report_decay.max(MIN_REPORT_DECAY)).exp();
             self.mean_inflight + (report.inflight - self.mean_inflight) * weight + ours
@@ -75,32 +81,33 @@
     }
 
     /// Usable workers with a free lane of a loaded copy that are not crowded.
-    pub(crate) fn free_workers(&self, f: usize, now: Micros) -> Vec<usize> {
-        let function = &self.functions[f];
-        let free = |(&w, copy): (&usize, &CopyRecord)| {
+    pub(crate) fn free_workers(&self, function_slot: usize, now: Micros) -> Vec<usize> {
+        let function = &self.functions[function_slot];
+        let free = |(&worker_slot, copy): (&usize, &CopyRecord)| {
             let usable = copy.warm(now)
                 && copy.has_free_lane(now, function.lanes)
-                && self.usable(w, function.class, now);
-            (usable && !self.is_crowded(w, now)).then_some(w)
+                && self.usable(worker_slot, function.class, now);
+            (usable && !self.is_crowded(worker_slot, now)).then_some(worker_slot)
         };
         function.copies.iter().filter_map(free).collect()
     }
 
     /// Whether a request may go to a worker. An unsafe request may only as long as no attempt can have run. A
-    /// deduplicated one that may have run goes only to workers in its scope, and within its window. No request goes
-    /// back to a worker where an attempt of it may have run or is in flight.
-    pub(crate) fn may_receive(&self, id: RequestId, w: usize, now: Micros) -> bool {
+    /// deduplicated one that may have run goes only to workers in its scope, and within its window. No
+    /// request goes back to a worker where an attempt of it may have run or is in flight.
+    pub(crate) fn may_receive(&self, id: RequestId, worker_slot: usize, now: Micros) -> bool {
         let request = &self.requests[&id];
-        let blocked = |kind| self.workers[w].blocks.get(&kind).is_some_and(|block| now < block.until);
+        let blocked =
+            |kind| self.workers[worker_slot].blocks.get(&kind).is_some_and(|block| now < block.until);
         if blocked((request.tenant, request.class)) || blocked(ALL_CALLS) {
             return false;
         }
-        if request.attempts.iter().any(|a| a.worker == w && (a.open || a.may_have_run)) {
+        if request.attempts.iter().any(|a| a.worker == worker_slot && (a.open || a.may_have_run)) {
             return false;
         }
         let Some(first) = request.attempts.iter().find(|a| a.may_have_run) else { return true };
         let class = &self.settings.classes[request.class];
-        let (first_entry, entry) = (&self.workers[first.worker].entry, &self.workers[w].entry);
+        let (first_entry, entry) = (&self.workers[first.worker].entry, &self.workers[worker_slot].entry);
         let in_scope = match class.dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => first_entry.zone == entry.zone,
@@ -115,7 +122,8 @@
     /// Sends a request, or queues it until a copy is loaded, or ends it if nothing more can be done.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.done) else { return };
-        let (f, class, lost, retry) = (request.function, request.class, request.lost, request.retry);
+        let (function_slot, class, lost, retry) =
+            (request.function, request.class, request.lost, request.retry);
         if request.attempts.iter().any(|a| a.open) {
             return;
         }
@@ -126,83 +134,98 @@
             || request.attempts.len() as u32 >= self.settings.max_attempts
             || may_have_run && self.settings.classes[class].retry_safety == RetrySafety::Unsafe
             // Keeps calls that no worker can serve from going round the workers: each replies with an error.
-            || request.errors >= MAX_ERRORS_NEVER_SERVED && !self.functions[f].ever_served
+            || request.errors >= MAX_ERRORS_NEVER_SERVED && !self.functions[function_slot].ever_served
         {
             return self.finish(id, out);
         }
-        let mut free = self.free_workers(f, now);
-        free.retain(|&w| self.may_receive(id, w, now));
+        let mut free = self.free_workers(function_slot, now);
+        free.retain(|&worker_slot| self.may_receive(id, worker_slot, now));
         if request.probing.is_some() && self.queued_too_long(id, now) {
             return self.finish(id, out);
         }
         let Some(free) = self.choices_after_probe(id, free, now) else { return };
-        if let Some(w) = self.pick_random(&free) {
-            if !self.ensure_ready(now, id, w, out) {
+        if let Some(worker_slot) = self.pick_random(&free) {
+            if !self.ensure_ready(now, id, worker_slot, out) {
                 return;
             }
-            // Exception with several front ends: requests of the others take lanes too. If each of them has as many
-            // in flight as this one had lately, all known lanes are taken. That is a loss which cannot be seen here.
-            let function = &self.functions[f];
+            // Exception with several front ends: requests of the others take lanes too. If each of them has
+            // as many in flight as this one had lately, all known lanes are taken. That is a loss which
+            // cannot be seen here.
+            let function = &self.functions[function_slot];
             let (service_time, lanes) = (function.service_time, f64::from(function.lanes));
             let known = function.copies.values().filter(|copy| copy.warm(now)).count() as f64;
             if self.settings.front_ends > 1
                 && !(lost || retry)
-                && self.fleet_calls(f, service_time) > known * lanes
+                && self.fleet_calls(function_slot, service_time) > known * lanes
             {
-                self.functions[f].last_loss = now;
-                self.add_copy(f, now, Some(id), out);
+                self.functions[function_slot].last_loss = now;
+                self.add_copy(function_slot, now, Some(id), out);
             }
-            return self.send(now, id, w, out);
+            return self.send(now, id, worker_slot, out);
         }
         // A retry by the client is no new loss: its first try has been counted.
         let new_loss = !(lost || retry);
         if new_loss {
-            self.functions[f].last_loss = now;
+            self.functions[function_slot].last_loss = now;
         }
         self.requests.entry(id).and_modify(|r| r.lost = true);
-        let copies = &self.functions[f].copies;
-        let fits = |w: &usize| self.usable(*w, class, now) && self.may_receive(id, *w, now);
-        // Ties go to the worker with the fewest requests of all front ends: with many front ends ours are mostly zero.
-        let load = |w: usize, copy: &CopyRecord| {
-            let inflight = self.estimated_inflight(w, now) * self.workers[w].slowness;
+        let copies = &self.functions[function_slot].copies;
+        let fits = |worker_slot: &usize| {
+            self.usable(*worker_slot, class, now) && self.may_receive(id, *worker_slot, now)
+        };
+        // Ties go to the worker with the fewest requests of all front ends: with many front ends ours are
+        // mostly zero.
+        let load = |worker_slot: usize, copy: &CopyRecord| {
+            let inflight = self.estimated_inflight(worker_slot, now) * self.workers[worker_slot].slowness;
             (copy.our_inflight, (inflight * 16.0) as u64)
         };
-        let warm: Vec<usize> =
-            copies.iter().filter(|(w, copy)| copy.warm(now) && fits(w)).map(|(&w, _)| w).collect();
+        let warm: Vec<usize> = copies
+            .iter()
+            .filter(|(worker_slot, copy)| copy.warm(now) && fits(worker_slot))
+            .map(|(&worker_slot, _)| worker_slot)
+            .collect();
         let Some(warm) = self.choices_after_probe(id, warm, now) else { return };
-        if let Some(w) = warm.into_iter().min_by_key(|&w| (load(w, &copies[&w]), w)) {
-            if !self.ensure_ready(now, id, w, out) {
+        if let Some(worker_slot) = warm
+            .into_iter()
+            .min_by_key(|&worker_slot| (load(worker_slot, &copies[&worker_slot]), worker_slot))
+        {
+            if !self.ensure_ready(now, id, worker_slot, out) {
                 return;
             }
             if new_loss {
-                self.add_copy(f, now, Some(id), out);
+                self.add_copy(function_slot, now, Some(id), out);
             }
-            return self.send(now, id, w, out);
+            return self.send(now, id, worker_slot, out);
         }
         if self.queued_too_long(id, now) {
             return self.finish(id, out);
         }
-        self.enqueue(f, id);
-        if self.query_copies(f, now, out) {
+        self.enqueue(function_slot, id);
+        if self.query_copies(function_slot, now, out) {
             return;
         }
-        let queued = self.functions[f].queued.len() as u32;
-        let function = &self.functions[f];
+        let queued = self.functions[function_slot].queued.len() as u32;
+        let function = &self.functions[function_slot];
         let loading = function.copies.values().filter(|copy| copy.loading()).count() as u32;
-        if queued > loading * function.lanes.max(2) && !self.add_copy(f, now, Some(id), out) && loading == 0 {
-            // No load command may be sent, because of a limit or the settings. If calls load by themselves, this one
-            // does.
+        if queued > loading * function.lanes.max(2)
+            && !self.add_copy(function_slot, now, Some(id), out)
+            && loading == 0
+        {
+            // No load command may be sent, because of a limit or the settings. If calls load by themselves,
+            // this one does.
             let may_send = self.settings.load_on_miss && f64::from(self.loads_in_flight) < self.load_cap;
-            if let Some(w) = may_send.then(|| self.choose_load_target(f, now, Some(id))).flatten() {
-                if self.ensure_ready(now, id, w, out) {
-                    self.send(now, id, w, out);
+            if let Some(worker_slot) =
+                may_send.then(|| self.choose_load_target(function_slot, now, Some(id))).flatten()
+            {
+                if self.ensure_ready(now, id, worker_slot, out) {
+                    self.send(now, id, worker_slot, out);
                 }
             }
         }
     }
 
-    /// Whether a request has been queued without an attempt for so long that refusing it is better: the client still
-    /// has time to try again, which is worth more than a place in the queue.
+    /// Whether a request has been queued without an attempt for so long that refusing it is better: the
+    /// client still has time to try again, which is worth more than a place in the queue.
     pub(crate) fn queued_too_long(&self, id: RequestId, now: Micros) -> bool {
         let request = &self.requests[&id];
         let longest = ((request.deadline - request.arrived_at) as f64 * MAX_QUEUED_FRACTION) as Micros;
@@ -212,19 +235,20 @@
     }
 
     /// Sends an attempt of a request to a worker.
-    pub(crate) fn send(&mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>) {
+    pub(crate) fn send(&mut self, now: Micros, id: RequestId, worker_slot: usize, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let function = &self.functions[request.function];
-        let cold = function.copies.get(&w).is_none_or(|copy| !copy.warm(now) && !copy.load_pending());
+        let cold =
+            function.copies.get(&worker_slot).is_none_or(|copy| !copy.warm(now) && !copy.load_pending());
         let usual_load = if function.load_time > 0.0 { function.load_time } else { DEFAULT_TIME as f64 };
         let load = if cold { usual_load } else { 0.0 };
         let expected_time = function.service_time.max(MIN_SERVICE_TIME) + load;
         let overdue_after =
             OVERDUE_RATIO * function.service_time.max(MIN_OVERDUE_SERVICE_TIME) + SLOW_LOAD_RATIO * load;
         let (timeout, class) = (request.deadline.saturating_sub(now).max(MS), request.class);
-        self.record_send(now, id, w, cold, (expected_time, overdue_after));
+        self.record_send(now, id, worker_slot, cold, (expected_time, overdue_after));
         let threshold = self.random_fraction();
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[worker_slot];
         worker.cold_threshold = threshold;
         worker.cold_budget -= self.class_service_time[class];
         worker.next_trial = now + self.trial_interval;
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -1,24 +1,25 @@
 //! Readiness leases: how long a worker is assumed to be ready while discovery is lost.
 //!
-//! While discovery is current, the worker list decides. While it is lost, each worker's readiness is a lease on the
-//! front end's clock. The lease runs from the latest time at which the worker is known to have accepted work: a served
-//! call, an executed load command and a successful probe each confirm the time at which they were sent. It lasts for
-//! the drain grace of the settings. A drain that the front end cannot know of began after the lease did, so whatever is
-//! sent under the lease is sent within the grace. A worker whose lease has expired is probed before anything new is
-//! sent to it.
+//! While discovery is current, the worker list decides. While it is lost, each worker's readiness is a lease
+//! on the front end's clock. The lease runs from the latest time at which the worker is known to have
+//! accepted work: a served call, an executed load command and a successful probe each confirm the time at
+//! which they were sent. It lasts for the drain grace of the settings. A drain that the front end cannot know
+//! of began after the lease did, so whatever is sent under the lease is sent within the grace. A worker whose
+//! lease has expired is probed before anything new is sent to it.
 use crate::control::MS;
 use crate::interface::{Action, DiscoveryState, Event, Micros, Outcome, RequestId};
 use crate::state::Controller;
 
-/// Most of the grace that is left for the time from a decision to its first byte on the wire, in microseconds.
+/// Most of the grace that is left for the time from a decision to its first byte on the wire, in
+/// microseconds.
 const LEASE_MARGIN: Micros = 100 * MS;
 /// A lease that ends sooner than this is not used, in microseconds: what is sent under it would be late.
 const MIN_LEASE_LEFT: Micros = 20 * MS;
-/// A request waits this long for the probe of one worker before another worker is probed for it, in microseconds:
-/// several round trips.
+/// A request waits this long for the probe of one worker before another worker is probed for it, in
+/// microseconds: several round trips.
 const PROBE_WAIT: Micros = 60 * MS;
-/// First pause before a worker is probed again that accepted no work or did not reply, in microseconds; doubled each
-/// time.
+/// First pause before a worker is probed again that accepted no work or did not reply, in microseconds;
+/// doubled each time.
 const MIN_PROBE_PAUSE: Micros = 200 * MS;
 /// Longest such pause, in microseconds.
 const MAX_PROBE_PAUSE: Micros = 5_000 * MS;
@@ -26,7 +27,8 @@
 /// What is known of discovery.
 #[derive(Default)]
 pub(crate) struct Discovery {
-    /// Whether the front end reports the state of discovery. If not, the worker list counts as always current.
+    /// Whether the front end reports the state of discovery. If not, the worker list counts as always
+    /// current.
     reported: bool,
     lost: bool,
 }
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Handles a stall of this front end since the given time. Updates of discovery may wait unread, so until it
-    /// reports again the list is only known to have been current before the stall.
+    /// Handles a stall of this front end since the given time. Updates of discovery may wait unread, so until
+    /// it reports again the list is only known to have been current before the stall.
     pub(crate) fn on_stall(&mut self, since: Micros) {
         if self.discovery.reported {
             self.lose_discovery(since);
@@ -104,27 +106,28 @@
         self.discovery.lost
     }
 
-    /// Until when something new may be sent to a worker, as far as is known now; `None` while discovery is current.
-    pub(crate) fn lease_end(&self, w: usize) -> Option<Micros> {
+    /// Until when something new may be sent to a worker, as far as is known now; `None` while discovery is
+    /// current.
+    pub(crate) fn lease_end(&self, worker_slot: usize) -> Option<Micros> {
         let grace = self.settings.drain_grace;
         let duration = grace - LEASE_MARGIN.min(grace / 4);
-        self.discovery.lost.then(|| self.workers[w].lease.end(duration))
+        self.discovery.lost.then(|| self.workers[worker_slot].lease.end(duration))
     }
 
-    /// Until when something new may be sent to a worker, for the code that carries out actions. `None` while discovery
-    /// is current or if the worker is unknown.
+    /// Until when something new may be sent to a worker, for the code that carries out actions. `None` while
+    /// discovery is current or if the worker is unknown.
     pub fn worker_lease_end(&self, worker: &str) -> Option<Micros> {
-        self.worker_ids.get(worker).and_then(|&w| self.lease_end(w))
+        self.worker_slots.get(worker).and_then(|&worker_slot| self.lease_end(worker_slot))
     }
 
     /// Whether something new may be sent to a worker now.
-    pub(crate) fn leased(&self, w: usize, now: Micros) -> bool {
-        self.lease_end(w).is_none_or(|end| now + MIN_LEASE_LEFT < end)
+    pub(crate) fn leased(&self, worker_slot: usize, now: Micros) -> bool {
+        self.lease_end(worker_slot).is_none_or(|end| now + MIN_LEASE_LEFT < end)
     }
 
     /// Whether a worker is not chosen because it accepted no work when it was last probed.
-    pub(crate) fn suspended(&self, w: usize, now: Micros) -> bool {
-        self.discovery.lost && now < self.workers[w].lease.suspended_until
+    pub(crate) fn suspended(&self, worker_slot: usize, now: Micros) -> bool {
+        self.discovery.lost && now < self.workers[worker_slot].lease.suspended_until
     }
 
     /// Those of the workers that something may be sent to now; all of them if there is none.
@@ -132,7 +135,8 @@
         if !self.discovery.lost {
             return workers;
         }
-        let leased: Vec<usize> = workers.iter().copied().filter(|&w| self.leased(w, now)).collect();
+        let leased: Vec<usize> =
+            workers.iter().copied().filter(|&worker_slot| self.leased(worker_slot, now)).collect();
         if leased.is_empty() {
             workers
         } else {
@@ -141,33 +145,34 @@
     }
 
     /// Probes a worker, unless a probe is in flight.
-    pub(crate) fn probe(&mut self, w: usize, now: Micros, out: &mut Vec<Action>) {
-        let worker = &mut self.workers[w];
+    pub(crate) fn probe(&mut self, worker_slot: usize, now: Micros, out: &mut Vec<Action>) {
+        let worker = &mut self.workers[worker_slot];
         if self.settings.may_probe && worker.lease.probe_sent_at.is_none() {
             worker.lease.probe_sent_at = Some(now);
             out.push(Action::Probe { worker: worker.entry.worker.clone() });
         }
     }
 
-    /// Whether a request may be sent to a worker now. If not, the worker is probed and the request queued until then.
+    /// Whether a request may be sent to a worker now. If not, the worker is probed and the request queued
+    /// until then.
     pub(crate) fn ensure_ready(
-        &mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: RequestId, worker_slot: usize, out: &mut Vec<Action>,
     ) -> bool {
-        if self.leased(w, now) {
+        if self.leased(worker_slot, now) {
             return true;
         }
-        self.probe(w, now, out);
+        self.probe(worker_slot, now, out);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.probing = Some((w, now));
-            let f = request.function;
-            self.enqueue(f, id);
+            request.probing = Some((worker_slot, now));
+            let function_slot = request.function;
+            self.enqueue(function_slot, id);
         }
         false
     }
 
-    /// Those of the workers among which a request may choose. After a probe for it, only the probed worker if it is
-    /// ready; a random choice would favour workers that were confirmed for other requests. `None` while the result of
-    /// the probe may still arrive soon.
+    /// Those of the workers among which a request may choose. After a probe for it, only the probed worker if
+    /// it is ready; a random choice would favour workers that were confirmed for other requests. `None` while
+    /// the result of the probe may still arrive soon.
     pub(crate) fn choices_after_probe(
         &self, id: RequestId, workers: Vec<usize>, now: Micros,
     ) -> Option<Vec<usize>> {
@@ -187,28 +192,29 @@
     /// Handles the result of a probe.
     pub(crate) fn on_probed(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let Event::Probed { worker, outcome, inflight } = event else { return };
-        let Some(&w) = self.worker_ids.get(&worker) else { return };
-        let Some(sent_at) = self.workers[w].lease.probe_sent_at.take() else { return };
+        let Some(&worker_slot) = self.worker_slots.get(&worker) else { return };
+        let Some(sent_at) = self.workers[worker_slot].lease.probe_sent_at.take() else { return };
         if outcome == Outcome::Ok {
-            self.confirm_ready(w, sent_at);
-            let lease = &mut self.workers[w].lease;
+            self.confirm_ready(worker_slot, sent_at);
+            let lease = &mut self.workers[worker_slot].lease;
             (lease.pause, lease.suspended_until) = (0, 0);
         } else {
-            let lease = &mut self.workers[w].lease;
+            let lease = &mut self.workers[worker_slot].lease;
             lease.refute(sent_at);
             lease.suspend(now);
         }
-        self.record_report(w, now, inflight);
+        self.record_report(worker_slot, now, inflight);
         if outcome == Outcome::ConnectFailed {
-            self.mark_disconnected(w, now);
+            self.mark_disconnected(worker_slot, now);
         }
         self.place_queued(None, now, out);
     }
 
-    /// Records that a worker accepted work that was sent to it at `sent_at`. While discovery is lost, a worker that
-    /// could not be reached before may be a new process whose start was not reported, so it counts as cold.
-    pub(crate) fn confirm_ready(&mut self, w: usize, sent_at: Micros) {
-        let worker = &mut self.workers[w];
+    /// Records that a worker accepted work that was sent to it at `sent_at`. While discovery is lost, a
+    /// worker that could not be reached before may be a new process whose start was not reported, so it
+    /// counts as cold.
+    pub(crate) fn confirm_ready(&mut self, worker_slot: usize, sent_at: Micros) {
+        let worker = &mut self.workers[worker_slot];
         worker.lease.confirm(sent_at);
         if let Some(since) = worker.unreachable_since.take() {
             worker.cold_since = worker.cold_since.max(since);
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -1,8 +1,9 @@
 //! Replication: which copies of functions are assumed to be loaded, queried, loaded, renewed and unloaded.
 //!
-//! The algorithm is that of adaptive replication in loss networks. A real loss is a request that finds no free copy. A
-//! virtual loss is drawn at random for a request that did find one. Either adds a copy of the function, where possible
-//! in place of an idle copy of the least recently lost (LRL) function: the one whose last loss is longest ago.
+//! The algorithm is that of adaptive replication in loss networks. A real loss is a request that finds no
+//! free copy. A virtual loss is drawn at random for a request that did find one. Either adds a copy of the
+//! function, where possible in place of an idle copy of the least recently lost (LRL) function: the one whose
+//! last loss is longest ago.
 use crate::control::{DEFAULT_TIME, MS, RESPONSE_MARGIN, SEC};
 use crate::fleet_stats::MAX_RATE_SPAN;
 use crate::health::{FULL_BACKOFF, MEAN_WEIGHT, SLOW_RATIO};
@@ -10,12 +11,13 @@
 use crate::placement::FEW_FRONT_ENDS;
 use crate::state::*;
 
-/// Workers at the head of the common preference order that get copy queries: other front ends loaded there too.
+/// Workers at the head of the common preference order that get copy queries: other front ends loaded there
+/// too.
 const QUERIED_WORKERS: usize = 6;
 /// A lost request waits this long for replies to copy queries, in microseconds: several round trips.
 const QUERY_WAIT: Micros = 60 * MS;
-/// Shortest interval between copy queries for a function at a worker, in microseconds. Loads by other front ends take
-/// a good part of it.
+/// Shortest interval between copy queries for a function at a worker, in microseconds. Loads by other front
+/// ends take a good part of it.
 const QUERY_INTERVAL: Micros = 4 * SEC;
 /// Query tokens that each call earns.
 pub(crate) const QUERY_TOKENS_PER_CALL: f64 = 0.5;
@@ -25,8 +27,8 @@
 pub(crate) const MAX_LOAD_TOKENS: f64 = 8.0;
 /// Fraction of a call's worth that its load commands may cost.
 pub(crate) const MAX_LOAD_COST: f64 = 0.01;
-/// Highest cost of a copy query, as a fraction of a call's worth, at which queries are sent: a hundred front ends send
-/// a hundred queries. Above it the call itself goes to the head of the common preference order.
+/// Highest cost of a copy query, as a fraction of a call's worth, at which queries are sent: a hundred front
+/// ends send a hundred queries. Above it the call itself goes to the head of the common preference order.
 pub(crate) const MAX_QUERY_COST: f64 = 0.01;
 /// Fraction of the keep-alive for which a copy is assumed to stay loaded: allows for latency and jitter.
 const KEEP_ALIVE_USED: f64 = 0.9;
@@ -34,9 +36,11 @@
 const MAX_LIFETIME_FACTOR: f64 = 4.0;
 /// A load command renews a copy after this fraction of its lifetime, so that it arrives in time.
 const RENEW_AT: f64 = 0.75;
-/// The last copy is renewed for this many keep-alives after a call: functions called by timers are called that often.
+/// The last copy is renewed for this many keep-alives after a call: functions called by timers are called
+/// that often.
 const RENEW_FOR_KEEP_ALIVES: f64 = 2.0;
-/// Most load commands of ours in flight to one worker: it runs few loads at a time, and other front ends send some.
+/// Most load commands of ours in flight to one worker: it runs few loads at a time, and other front ends send
+/// some.
 const LOADS_PER_WORKER: u32 = 2;
 /// Bounds of the adaptive cap on our loads in flight.
 pub(crate) const MIN_LOAD_CAP: f64 = 1.0;
@@ -69,16 +73,17 @@
     }
 
     /// Calls of a function by all front ends in a span of time, if each makes as many as this one.
-    pub(crate) fn fleet_calls(&self, f: usize, span: f64) -> f64 {
-        let rate = (self.functions[f].recent_calls - 1.0).max(0.0) / MAX_RATE_SPAN as f64;
+    pub(crate) fn fleet_calls(&self, function_slot: usize, span: f64) -> f64 {
+        let rate = (self.functions[function_slot].recent_calls - 1.0).max(0.0) / MAX_RATE_SPAN as f64;
         rate * span * f64::from(self.settings.front_ends.max(1))
     }
 
-    /// This front end's share of the copies of a function that all front ends need: the number of workers at the
-    /// head of its preference order that are left to others, and the number of copies. Keeps the front ends from all
-    /// sending to the first workers of a function that each of them calls.
-    pub(crate) fn our_share(&self, f: usize) -> (usize, f64) {
-        let all = COPIES_PER_CALL * self.fleet_calls(f, self.functions[f].service_time);
+    /// This front end's share of the copies of a function that all front ends need: the number of workers at
+    /// the head of its preference order that are left to others, and the number of copies. Keeps the front
+    /// ends from all sending to the first workers of a function that each of them calls.
+    pub(crate) fn our_share(&self, function_slot: usize) -> (usize, f64) {
+        let all =
+            COPIES_PER_CALL * self.fleet_calls(function_slot, self.functions[function_slot].service_time);
         let front_ends = self.settings.front_ends.max(1);
         if front_ends <= FEW_FRONT_ENDS || all <= MAX_SHARED_COPIES {
             return (0, all);
@@ -89,48 +94,55 @@
         (skipped, all.min(QUERIED_WORKERS as f64 + SHARE_FACTOR * all / f64::from(front_ends)))
     }
 
-    /// How long a copy is assumed to stay loaded after evidence that it is: the keep-alive, or longer if the calls of
-    /// several front ends reach each copy several times within it, because each call restarts its idle time.
-    pub(crate) fn copy_lifetime(&self, f: usize) -> Micros {
+    /// How long a copy is assumed to stay loaded after evidence that it is: the keep-alive, or longer if the
+    /// calls of several front ends reach each copy several times within it, because each call restarts its
+    /// idle time.
+    pub(crate) fn copy_lifetime(&self, function_slot: usize) -> Micros {
         let keep_alive = self.keep_alive() as f64;
-        let copies = self.functions[f].copies.values().filter(|copy| copy.count > 0).count().max(1) as f64;
-        let calls_per_copy =
-            if self.settings.front_ends > 1 { self.fleet_calls(f, keep_alive) / copies } else { 0.0 };
+        let copies =
+            self.functions[function_slot].copies.values().filter(|copy| copy.count > 0).count().max(1) as f64;
+        let calls_per_copy = if self.settings.front_ends > 1 {
+            self.fleet_calls(function_slot, keep_alive) / copies
+        } else {
+            0.0
+        };
         (keep_alive * (calls_per_copy / 4.0).clamp(1.0, MAX_LIFETIME_FACTOR)) as Micros
     }
 
-    /// Draws whether a request counts as a virtual loss. With D warm copies, lambda requests in flight, Z free copies
-    /// and z* = (D - lambda) / theta, the probability is (min z* / z*) q(Z) if Z <= z*, and 0 otherwise. It applies
-    /// only while theta >= 1, D > 0 and z* >= 1. The minimum is that over all functions.
-    pub(crate) fn virtual_loss(&mut self, f: usize, now: Micros) -> bool {
+    /// Draws whether a request counts as a virtual loss. With D warm copies, lambda requests in flight, Z
+    /// free copies and z* = (D - lambda) / theta, the probability is (min z* / z*) q(Z) if Z <= z*, and 0
+    /// otherwise. It applies only while theta >= 1, D > 0 and z* >= 1. The minimum is that over all
+    /// functions.
+    pub(crate) fn virtual_loss(&mut self, function_slot: usize, now: Micros) -> bool {
         let theta = theta(self.busy_fraction, self.copies_per_worker);
-        let (copies, inflight) = self.copies_and_inflight(&self.functions[f], now);
+        let (copies, inflight) = self.copies_and_inflight(&self.functions[function_slot], now);
         let z_star = (copies as f64 - inflight) / theta;
         if theta < 1.0 || copies == 0 || z_star < 1.0 {
             return false;
         }
         let min_z_star = self.min_z_star.min(z_star);
-        let free = self.free_workers(f, now).len();
+        let free = self.free_workers(function_slot, now).len();
         let chance = virtual_loss_chance(copies, free, inflight, theta, z_star, min_z_star);
         (self.random() as f64) < chance * 2f64.powi(32)
     }
 
-    /// Sends copy queries to the first workers of the preference order, so that a copy that another front end has
-    /// loaded is used instead of loading one more. Returns whether replies are awaited.
-    pub(crate) fn query_copies(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
+    /// Sends copy queries to the first workers of the preference order, so that a copy that another front end
+    /// has loaded is used instead of loading one more. Returns whether replies are awaited.
+    pub(crate) fn query_copies(&mut self, function_slot: usize, now: Micros, out: &mut Vec<Action>) -> bool {
         let limit = if self.settings.front_ends > 1 { QUERIED_WORKERS } else { usize::MAX };
         let order = if limit == QUERIED_WORKERS {
-            self.preferred_workers(f, self.our_share(f).0, rendezvous_score)
+            self.preferred_workers(function_slot, self.our_share(function_slot).0, rendezvous_score)
         } else {
-            self.rank_all_workers(f, rendezvous_score)
+            self.rank_all_workers(function_slot, rendezvous_score)
+        };
+        let may_query = |&worker_slot: &usize| {
+            self.settings.may_command && self.workers[worker_slot].ready() && !self.is_suspect(worker_slot)
         };
-        let may_query =
-            |&w: &usize| self.settings.may_command && self.workers[w].ready() && !self.is_suspect(w);
         let queried: Vec<usize> = order.into_iter().filter(may_query).take(limit).collect();
         let mut awaited = false;
-        for w in queried {
+        for worker_slot in queried {
             let tokens_left = self.query_tokens >= 1.0;
-            let copy = self.copy_record(f, w);
+            let copy = self.copy_record(function_slot, worker_slot);
             if let Some(Command::Query(sent_at)) = copy.command {
                 awaited |= now < sent_at + QUERY_WAIT;
             } else if tokens_left
@@ -140,15 +152,15 @@
             {
                 (copy.command, copy.queried_at) = (Some(Command::Query(now)), Some(now));
                 self.query_tokens -= 1.0;
-                out.push(self.load_action(f, w, 0));
+                out.push(self.load_action(function_slot, worker_slot, 0));
                 awaited = true;
             }
         }
         awaited
     }
 
-    /// Whether no further load command may be sent now: the settings limit them per window, and each costs a load
-    /// token. With `reserve` half of both is left for real losses.
+    /// Whether no further load command may be sent now: the settings limit them per window, and each costs a
+    /// load token. With `reserve` half of both is left for real losses.
     pub(crate) fn load_limit_reached(&mut self, now: Micros, reserve: bool) -> bool {
         let window = self.settings.load_window;
         let no_tokens = self.load_tokens < if reserve { MAX_LOAD_TOKENS / 2.0 } else { 1.0 };
@@ -164,19 +176,20 @@
         (self.load_times.len() + 1) as f64 > if reserve { allowed / 2.0 } else { allowed }
     }
 
-    /// Loads one more copy after a loss: a real one of the request `lost`, or a virtual one. Does nothing if our loads
-    /// in flight are at their cap, or if a load of the function is already in flight and no request is queued for it.
+    /// Loads one more copy after a loss: a real one of the request `lost`, or a virtual one. Does nothing if
+    /// our loads in flight are at their cap, or if a load of the function is already in flight and no request
+    /// is queued for it.
     pub(crate) fn add_copy(
-        &mut self, f: usize, now: Micros, lost: Option<RequestId>, out: &mut Vec<Action>,
+        &mut self, function_slot: usize, now: Micros, lost: Option<RequestId>, out: &mut Vec<Action>,
     ) -> bool {
         let virtual_loss = lost.is_none();
         let cap = if virtual_loss { self.load_cap / 2.0 } else { self.load_cap };
-        let function = &self.functions[f];
+        let function = &self.functions[function_slot];
         let pending = function.copies.values().any(|copy| copy.load_pending() || copy.cold_sends > 0);
-        // Exception with several front ends: each of them responds to the same losses, and together they would unload
-        // each other's copies. So the calls in flight limit the number of known copies.
+        // Exception with several front ends: each of them responds to the same losses, and together they
+        // would unload each other's copies. So the calls in flight limit the number of known copies.
         let known = self.copies_and_inflight(function, now).0 as f64;
-        let enough = self.settings.front_ends > 1 && known >= 1.0 + self.our_share(f).1.round();
+        let enough = self.settings.front_ends > 1 && known >= 1.0 + self.our_share(function_slot).1.round();
         let at_limit = f64::from(self.loads_in_flight) + 1.0 > cap || enough;
         if !self.settings.may_command
             || at_limit
@@ -185,85 +198,101 @@
         {
             return false;
         }
-        let Some(w) = self.choose_load_target(f, now, lost) else { return false };
-        if !self.leased(w, now) {
+        let Some(worker_slot) = self.choose_load_target(function_slot, now, lost) else { return false };
+        if !self.leased(worker_slot, now) {
             if !virtual_loss {
-                self.probe(w, now, out); // the next loss can use the result
+                self.probe(worker_slot, now, out); // the next loss can use the result
             }
             return false;
         }
-        self.make_room(f, w, now, out);
-        let copy = self.copy_record(f, w);
+        self.make_room(function_slot, worker_slot, now, out);
+        let copy = self.copy_record(function_slot, worker_slot);
         let count = if copy.warm(now) { (copy.count + 1).min(MAX_COPIES_AT_WORKER) } else { 1 };
-        self.send_load(f, w, count, now, out);
+        self.send_load(function_slot, worker_slot, count, now, out);
         true
     }
 
-    /// Chooses the worker for a new copy: a random one with an idle copy of the least recently lost function, else any.
-    /// An idle copy is chosen once only. Until its function is used again it is passed over, as if it had been evicted.
+    /// Chooses the worker for a new copy: a random one with an idle copy of the least recently lost function,
+    /// else any. An idle copy is chosen once only. Until its function is used again it is passed over, as if
+    /// it had been evicted.
     pub(crate) fn choose_load_target(
-        &mut self, f: usize, now: Micros, id: Option<RequestId>,
+        &mut self, function_slot: usize, now: Micros, id: Option<RequestId>,
     ) -> Option<usize> {
-        let class = self.functions[f].class;
-        let preferred = self.preferred_workers(f, self.our_share(f).0, rendezvous_score);
-        let fits = |w: usize, warm_too: bool| {
-            let worker = &self.workers[w];
-            let copy = self.functions[f].copies.get(&w);
+        let class = self.functions[function_slot].class;
+        let preferred =
+            self.preferred_workers(function_slot, self.our_share(function_slot).0, rendezvous_score);
+        let fits = |worker_slot: usize, warm_too: bool| {
+            let worker = &self.workers[worker_slot];
+            let copy = self.functions[function_slot].copies.get(&worker_slot);
             let here = copy.is_some_and(|copy| copy.load_pending() || copy.warm(now) && !warm_too);
-            self.usable(w, class, now)
-                && !(self.is_suspect(w) || here)
-                && (warm_too || !self.is_crowded(w, now))
+            self.usable(worker_slot, class, now)
+                && !(self.is_suspect(worker_slot) || here)
+                && (warm_too || !self.is_crowded(worker_slot, now))
                 && worker.loads_in_flight < LOADS_PER_WORKER
                 && now >= worker.no_loads_until
-                && id.is_none_or(|id| self.may_receive(id, w, now))
+                && id.is_none_or(|id| self.may_receive(id, worker_slot, now))
         };
         let idle = |copy: &CopyRecord| copy.warm(now) && copy.our_inflight == 0;
-        // Exception with several front ends: all of them follow the same preference order, which depends on identifiers
-        // alone, and take the first worker with room or with an idle copy of a function lost less recently.
+        // Exception with several front ends: all of them follow the same preference order, which depends on
+        // identifiers alone, and take the first worker with room or with an idle copy of a function lost less
+        // recently.
         if self.settings.front_ends > 1 {
-            let last_loss = self.functions[f].last_loss;
-            let replaceable = |function: &Function, w: usize| {
-                function.last_loss < last_loss && function.copies.get(&w).is_some_and(idle)
+            let last_loss = self.functions[function_slot].last_loss;
+            let replaceable = |function: &Function, worker_slot: usize| {
+                function.last_loss < last_loss && function.copies.get(&worker_slot).is_some_and(idle)
+            };
+            let has_replaceable = |worker_slot: usize| {
+                self.workers[worker_slot]
+                    .functions
+                    .iter()
+                    .any(|&other| replaceable(&self.functions[other], worker_slot))
             };
-            let has_replaceable =
-                |w: usize| self.workers[w].functions.iter().any(|&g| replaceable(&self.functions[g], w));
             let choose = |order: &[usize], warm_too| {
-                let fitting = || order.iter().copied().filter(|&w| fits(w, warm_too));
+                let fitting = || order.iter().copied().filter(|&worker_slot| fits(worker_slot, warm_too));
                 fitting()
-                    .find(|&w| self.memory_room(f, w, now) >= 0.0 || has_replaceable(w))
+                    .find(|&worker_slot| {
+                        self.memory_room(function_slot, worker_slot, now) >= 0.0
+                            || has_replaceable(worker_slot)
+                    })
                     .or_else(|| fitting().next())
             };
             return choose(&preferred, false).or_else(|| {
-                let all = self.rank_all_workers(f, rendezvous_score);
+                let all = self.rank_all_workers(function_slot, rendezvous_score);
                 choose(&all, false).or_else(|| choose(&all, true))
             });
         }
-        let order = self.rank_all_workers(f, rendezvous_score);
-        let fitting = |warm_too| order.iter().copied().filter(|&w| fits(w, warm_too)).collect::<Vec<_>>();
+        let order = self.rank_all_workers(function_slot, rendezvous_score);
+        let fitting = |warm_too| {
+            order.iter().copied().filter(|&worker_slot| fits(worker_slot, warm_too)).collect::<Vec<_>>()
+        };
         let fitting =
             Some(fitting(false)).filter(|workers| !workers.is_empty()).unwrap_or_else(|| fitting(true));
         let fitting = self.prefer_leased(fitting, now);
-        let mut others: Vec<usize> = (0..self.functions.len()).filter(|&g| g != f).collect();
-        others.sort_by_key(|&g| self.functions[g].last_loss);
-        for g in others {
-            let copies = &self.functions[g].copies;
-            let replaceable = |w: &&usize| copies.get(w).is_some_and(|copy| idle(copy) && !copy.reserved);
+        let mut others: Vec<usize> =
+            (0..self.functions.len()).filter(|&other| other != function_slot).collect();
+        others.sort_by_key(|&other| self.functions[other].last_loss);
+        for other in others {
+            let copies = &self.functions[other].copies;
+            let replaceable = |worker_slot: &&usize| {
+                copies.get(worker_slot).is_some_and(|copy| idle(copy) && !copy.reserved)
+            };
             let choices: Vec<usize> = fitting.iter().filter(replaceable).copied().collect();
-            if let Some(w) = self.pick_random(&choices) {
-                if let Some(copy) = self.functions[g].copies.get_mut(&w) {
+            if let Some(worker_slot) = self.pick_random(&choices) {
+                if let Some(copy) = self.functions[other].copies.get_mut(&worker_slot) {
                     copy.reserved = true;
                 }
-                return Some(w);
+                return Some(worker_slot);
             }
         }
         self.pick_random(&fitting)
     }
 
-    /// Memory in MB that remains at a worker after one more copy, by our own account; negative if it is short.
-    pub(crate) fn memory_room(&self, f: usize, w: usize, now: Micros) -> f64 {
-        let machine_type = self.workers[w].entry.machine_type;
+    /// Memory in MB that remains at a worker after one more copy, by our own account; negative if it is
+    /// short.
+    pub(crate) fn memory_room(&self, function_slot: usize, worker_slot: usize, now: Micros) -> f64 {
+        let machine_type = self.workers[worker_slot].entry.machine_type;
         let memory_mb = self.settings.machine_memory_mb.get(machine_type).copied().unwrap_or(0.0);
-        let used = self.memory_used(w, now) + self.functions[f].memory_mb;
+        let used = self.memory_used(worker_slot, now) + self.functions[function_slot].memory_mb;
         if memory_mb > 0.0 {
             memory_mb * MAX_MEMORY_FRACTION - used
         } else {
@@ -271,22 +300,29 @@
         }
     }
 
-    /// Unloads idle copies of the least recently lost functions at a worker while its memory is short by our own
-    /// account.
-    pub(crate) fn make_room(&mut self, f: usize, w: usize, now: Micros, out: &mut Vec<Action>) {
-        let mut room = self.memory_room(f, w, now);
-        let mut others: Vec<usize> = self.workers[w].functions.iter().copied().filter(|&g| g != f).collect();
-        others.sort_by_key(|&g| self.functions[g].last_loss);
-        for g in others {
+    /// Unloads idle copies of the least recently lost functions at a worker while its memory is short by our
+    /// own account.
+    pub(crate) fn make_room(
+        &mut self, function_slot: usize, worker_slot: usize, now: Micros, out: &mut Vec<Action>,
+    ) {
+        let mut room = self.memory_room(function_slot, worker_slot, now);
+        let mut others: Vec<usize> = self.workers[worker_slot]
+            .functions
+            .iter()
+            .copied()
+            .filter(|&other| other != function_slot)
+            .collect();
+        others.sort_by_key(|&other| self.functions[other].last_loss);
+        for other in others {
             if room >= 0.0 {
                 return;
             }
-            let function = &mut self.functions[g];
-            let Some(copy) = function.copies.get_mut(&w) else { continue };
+            let function = &mut self.functions[other];
+            let Some(copy) = function.copies.get_mut(&worker_slot) else { continue };
             if copy.warm(now) && copy.our_inflight == 0 && copy.command.is_none() {
                 room += function.memory_mb * f64::from(copy.count);
                 copy.count = 0;
-                let worker = self.workers[w].entry.worker.clone();
+                let worker = self.workers[worker_slot].entry.worker.clone();
                 out.push(Action::Unload { worker, function: function.id });
             }
         }
@@ -295,49 +331,53 @@
     /// Renews the last copy of each function still in use, so that its next call finds it loaded.
     pub(crate) fn renew_last_copies(&mut self, now: Micros, out: &mut Vec<Action>) {
         let keep_alive = self.keep_alive();
-        for f in 0..self.functions.len() {
-            let function = &self.functions[f];
+        for function_slot in 0..self.functions.len() {
+            let function = &self.functions[function_slot];
             let in_use = now <= function.last_call + (keep_alive as f64 * RENEW_FOR_KEEP_ALIVES) as Micros;
             if !in_use || !self.settings.may_command {
                 continue;
             }
-            let warm = |&(&w, copy): &(&usize, &CopyRecord)| {
-                copy.warm(now) && self.workers[w].ready() && !self.workers[w].disconnected
+            let warm = |&(&worker_slot, copy): &(&usize, &CopyRecord)| {
+                copy.warm(now) && self.workers[worker_slot].ready() && !self.workers[worker_slot].disconnected
             };
             let last = function.copies.iter().filter(warm).max_by_key(|(_, copy)| copy.expires_at);
-            let Some((&w, copy)) = last else { continue };
+            let Some((&worker_slot, copy)) = last else { continue };
             if copy.our_inflight == 0
                 && copy.command.is_none()
                 && copy.expires_at < now + (keep_alive as f64 * (1.0 - RENEW_AT)) as Micros
-                && !self.suspended(w, now)
+                && !self.suspended(worker_slot, now)
                 && !self.load_limit_reached(now, true)
             {
-                if !self.leased(w, now) {
-                    self.probe(w, now, out); // the next refresh can use the result
+                if !self.leased(worker_slot, now) {
+                    self.probe(worker_slot, now, out); // the next refresh can use the result
                     continue;
                 }
-                self.send_load(f, w, 1, now, out);
+                self.send_load(function_slot, worker_slot, 1, now, out);
             }
         }
     }
 
-    /// Handles the reply to a load command or a copy query. Slow and failed loads lower the cap on loads in flight, to
-    /// protect the store that workers load from.
+    /// Handles the reply to a load command or a copy query. Slow and failed loads lower the cap on loads in
+    /// flight, to protect the store that workers load from.
     pub(crate) fn on_loaded(
-        &mut self, now: Micros, w: usize, f: usize, reply: (u32, Outcome, Micros), out: &mut Vec<Action>,
+        &mut self, now: Micros, worker_slot: usize, function_slot: usize, reply: (u32, Outcome, Micros),
+        out: &mut Vec<Action>,
     ) {
         let (count, outcome, elapsed) = reply;
-        let lifetime = self.copy_lifetime(f);
+        let lifetime = self.copy_lifetime(function_slot);
         let until = now + lifetime;
-        let Some(copy) = self.functions[f].copies.get_mut(&w) else { return };
+        let Some(copy) = self.functions[function_slot].copies.get_mut(&worker_slot) else { return };
         let Some(command) = copy.command.take() else { return };
         let (Command::Query(sent_at) | Command::Load(sent_at)) = command;
         let was_loaded = copy.count > 0;
-        let ready = self.workers[w].ready();
-        let before_restart = sent_at < self.workers[w].entry.started_at;
-        // The worker replies again, but without its copies: a new process that no list update has reported yet.
-        let emptied =
-            was_loaded && count == 0 && self.workers[w].copies_unconfirmed() && outcome == Outcome::Ok;
+        let ready = self.workers[worker_slot].ready();
+        let before_restart = sent_at < self.workers[worker_slot].entry.started_at;
+        // The worker replies again, but without its copies: a new process that no list update has reported
+        // yet.
+        let emptied = was_loaded
+            && count == 0
+            && self.workers[worker_slot].copies_unconfirmed()
+            && outcome == Outcome::Ok;
         match outcome {
             Outcome::Ok | Outcome::Rejected | Outcome::Error if ready && !before_restart => {
                 copy.count = count;
@@ -345,29 +385,29 @@
                 let expires_at = if matches!(command, Command::Load(_)) { until } else { now + lifetime / 2 };
                 copy.confirmed_at = expires_at.saturating_sub(lifetime);
                 copy.expires_at = if count > 0 { copy.expires_at.max(expires_at) } else { 0 };
-                self.workers[w].reconnected(SLOW_RATIO);
+                self.workers[worker_slot].reconnected(SLOW_RATIO);
             }
-            Outcome::ConnectFailed => self.mark_disconnected(w, now),
-            Outcome::Reset => self.suspect_restart(w, now),
+            Outcome::ConnectFailed => self.mark_disconnected(worker_slot, now),
+            Outcome::Reset => self.suspect_restart(worker_slot, now),
             _ => {}
         }
         if emptied {
-            self.forget_copies(w);
+            self.forget_copies(worker_slot);
             if self.discovery_lost() {
-                self.workers[w].unreachable_since.get_or_insert(now);
+                self.workers[worker_slot].unreachable_since.get_or_insert(now);
             }
         }
         if matches!(command, Command::Load(_)) && ready {
             match outcome {
-                Outcome::Ok => self.confirm_ready(w, sent_at),
-                Outcome::Rejected => self.workers[w].lease.refute(sent_at),
+                Outcome::Ok => self.confirm_ready(worker_slot, sent_at),
+                Outcome::Rejected => self.workers[worker_slot].lease.refute(sent_at),
                 _ => {}
             }
         }
         if let Command::Load(_) = command {
             self.loads_in_flight -= 1;
-            self.workers[w].loads_in_flight -= 1;
-            let function = &mut self.functions[f];
+            self.workers[worker_slot].loads_in_flight -= 1;
+            let function = &mut self.functions[function_slot];
             let took = elapsed as f64;
             if outcome == Outcome::Ok && !was_loaded && took > SHORTEST_LOAD {
                 let usual = if function.load_time > 0.0 { function.load_time } else { took };
@@ -376,34 +416,35 @@
                     if slow { self.load_cap * LOAD_CAP_DECREASE } else { self.load_cap + LOAD_CAP_INCREASE };
                 function.load_time = if slow { usual } else { usual + MEAN_WEIGHT * (took - usual) };
             } else if outcome == Outcome::Timeout || outcome == Outcome::Error && function.ever_served {
-                // If the function has never been served, the error may lie with the function, not with the store.
+                // If the function has never been served, the error may lie with the function, not with the
+                // store.
                 self.load_cap /= 2.0;
             } else if outcome == Outcome::Rejected {
-                self.workers[w].no_loads_until = now + FULL_BACKOFF;
+                self.workers[worker_slot].no_loads_until = now + FULL_BACKOFF;
             }
             self.load_cap = self.load_cap.clamp(MIN_LOAD_CAP, MAX_LOAD_CAP);
         }
-        self.place_queued(Some(f), now, out);
+        self.place_queued(Some(function_slot), now, out);
     }
 }
 
-/// Rendezvous hash score of a worker for a function: a preference order that looks random and is the same at every
-/// front end.
+/// Rendezvous hash score of a worker for a function: a preference order that looks random and is the same at
+/// every front end.
 pub(crate) fn rendezvous_score(function: FunctionId, worker: &str) -> u64 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     let hash = worker.bytes().fold(function ^ 0xcbf2_9ce4_8422_2325, mix);
     (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (hash >> 32)
 }
 
-/// The algorithm's effective theta, from the busy fraction and the number of copies that fit into a worker's memory.
-/// The busy fraction is clamped to keep theta finite and positive.
+/// The algorithm's effective theta, from the busy fraction and the number of copies that fit into a worker's
+/// memory. The busy fraction is clamped to keep theta finite and positive.
 pub(crate) fn theta(busy_fraction: f64, copies_per_worker: f64) -> f64 {
     let rho = busy_fraction.clamp(0.05, 0.95);
     rho / (1.0 - rho) * (copies_per_worker - 1.0).max(0.0) / copies_per_worker.max(1.0)
 }
 
-/// The probability of a virtual loss with `copies` warm copies (D), `free` of them free (Z), and `inflight` requests
-/// in flight (lambda). `min_z_star` is the smallest `z_star` of all functions.
+/// The probability of a virtual loss with `copies` warm copies (D), `free` of them free (Z), and `inflight`
+/// requests in flight (lambda). `min_z_star` is the smallest `z_star` of all functions.
 pub(crate) fn virtual_loss_chance(
     copies: usize, free: usize, inflight: f64, theta: f64, z_star: f64, min_z_star: f64,
 ) -> f64 {
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -3,8 +3,8 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// After a connection reset or a malformed reply, responses may get lost for this long, in microseconds. In that
-/// time requests are hedged if the settings allow it.
+/// After a connection reset or a malformed reply, responses may get lost for this long, in microseconds. In
+/// that time requests are hedged if the settings allow it.
 const HEDGE_SPAN: Micros = 5 * SEC;
 /// An attempt is hedged after this multiple of its expected time ...
 const HEDGE_RATIO: f64 = 4.0;
@@ -14,9 +14,10 @@
 const SUSPECT_RATIO: f64 = 1.5;
 
 impl Controller {
-    /// Starts another attempt for each repeatable request whose only attempt is long overdue or is at a suspect:
-    /// such a worker may never respond. The attempt goes to a free warm worker. Where hedging is not allowed, the
-    /// overdue attempt is cancelled first, and the request is placed again once that is confirmed.
+    /// Starts another attempt for each repeatable request whose only attempt is long overdue or is at a
+    /// suspect: such a worker may never respond. The attempt goes to a free warm worker. Where hedging is not
+    /// allowed, the overdue attempt is cancelled first, and the request is placed again once that is
+    /// confirmed.
     pub(crate) fn retry_overdue(&mut self, now: Micros, out: &mut Vec<Action>) {
         let responses_get_lost = self.last_reset_at > 0 && now < self.last_reset_at + HEDGE_SPAN;
         let hedge = self.settings.may_hedge && responses_get_lost;
@@ -38,9 +39,9 @@
         };
         let ids: Vec<RequestId> = self.requests.iter().filter_map(overdue).collect();
         for id in ids {
-            let f = self.requests[&id].function;
-            let mut free = self.free_workers(f, now);
-            free.retain(|&w| self.may_receive(id, w, now));
+            let function_slot = self.requests[&id].function;
+            let mut free = self.free_workers(function_slot, now);
+            free.retain(|&worker_slot| self.may_receive(id, worker_slot, now));
             if free.is_empty() || self.retry_tokens < 1.0 {
                 continue;
             }
@@ -50,8 +51,8 @@
                 continue;
             }
             if self.settings.may_hedge {
-                let w = self.pick_random(&free).unwrap_or(free[0]);
-                self.send(now, id, w, out);
+                let worker_slot = self.pick_random(&free).unwrap_or(free[0]);
+                self.send(now, id, worker_slot, out);
             } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.settings.may_cancel) {
                 let attempt = r.attempts.len() - 1;
                 r.attempts[attempt].cancelled = true;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! The records that a front end keeps: plain data, changed only by the methods of [`Controller`].
 //!
-//! Workers and functions live in slots of [`Controller::workers`] and [`Controller::functions`]. A slot
-//! number, `w` for a worker and `f` for a function, stands for them everywhere in this crate.
+//! Workers and functions live in slots of [`Controller::workers`] and [`Controller::functions`]. Everywhere
+//! in this crate a slot is the index into one of these lists, and stands for the worker or function there.
 use crate::interface::*;
 use crate::readiness::{Discovery, Lease};
 use rand_pcg::rand_core::RngCore;
@@ -101,13 +101,15 @@
 }
 
 impl Function {
-    /// Enters a new worker, which may have taken the slot of a removed one. `slots` is the number of worker slots.
+    /// Enters a new worker, which may have taken the slot of a removed one. `slots` is the number of worker
+    /// slots.
     fn insert_preferred(&mut self, new: PreferredWorker, slots: usize) {
         self.preferred.retain(|p| p.worker != new.worker);
         if self.skipped > 0 && self.preferred.first().is_some_and(|p| new.rank() < p.rank()) {
             return; // it ranks among the skipped workers
         }
-        // Workers behind the last one kept are not known, so nothing may be appended unless all workers are kept.
+        // Workers behind the last one kept are not known, so nothing may be appended unless all workers are
+        // kept.
         let complete = self.preferred.len() + 1 >= slots;
         let before = self.preferred.partition_point(|p| p.rank() < new.rank());
         if before < self.preferred.len() || complete {
@@ -171,9 +173,9 @@
     pub(crate) loads_in_flight: u32,
     /// Slow start: work that may be sent to it while it is cold, in microseconds of service time.
     pub(crate) cold_budget: f64,
-    /// The fraction of a call's service time that the budget must cover for the next call while the worker is cold.
-    /// Drawn at random for each call. Each of many front ends may be due less than one call; with a random threshold
-    /// the calls of all of them add up to the sum of their budgets on average, at any time.
+    /// The fraction of a call's service time that the budget must cover for the next call while the worker is
+    /// cold. Drawn at random for each call. Each of many front ends may be due less than one call; with a
+    /// random threshold the calls of all of them add up to the sum of their budgets on average, at any time.
     pub(crate) cold_threshold: f64,
     /// What is known of its readiness while discovery is lost.
     pub(crate) lease: Lease,
@@ -297,9 +299,9 @@
     /// Periodic timers so far; 0 before the first event.
     pub(crate) ticks: u32,
     pub(crate) workers: Vec<Worker>,
-    pub(crate) worker_ids: BTreeMap<WorkerId, usize>,
+    pub(crate) worker_slots: BTreeMap<WorkerId, usize>,
     pub(crate) functions: Vec<Function>,
-    pub(crate) function_ids: BTreeMap<FunctionId, usize>,
+    pub(crate) function_slots: BTreeMap<FunctionId, usize>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Workers that accept work, by the list.
     pub(crate) ready: Vec<usize>,
@@ -368,52 +370,52 @@
 
 impl Controller {
     /// Forgets all copies at a worker whose process died, restarted or was removed.
-    pub(crate) fn forget_copies(&mut self, w: usize) {
-        for f in std::mem::take(&mut self.workers[w].functions) {
-            let Some(copy) = self.functions[f].copies.get_mut(&w) else { continue };
+    pub(crate) fn forget_copies(&mut self, worker_slot: usize) {
+        for function_slot in std::mem::take(&mut self.workers[worker_slot].functions) {
+            let Some(copy) = self.functions[function_slot].copies.get_mut(&worker_slot) else { continue };
             (copy.count, copy.expires_at, copy.queried_at) = (0, 0, None);
             if copy.in_use() {
-                self.workers[w].functions.insert(f);
+                self.workers[worker_slot].functions.insert(function_slot);
             } else {
-                self.functions[f].copies.remove(&w);
+                self.functions[function_slot].copies.remove(&worker_slot);
             }
         }
     }
 
     /// The record of a function's copies at a worker; created, in both indexes, if there is none.
-    pub(crate) fn copy_record(&mut self, f: usize, w: usize) -> &mut CopyRecord {
-        self.workers[w].functions.insert(f);
-        self.functions[f].copies.entry(w).or_default()
+    pub(crate) fn copy_record(&mut self, function_slot: usize, worker_slot: usize) -> &mut CopyRecord {
+        self.workers[worker_slot].functions.insert(function_slot);
+        self.functions[function_slot].copies.entry(worker_slot).or_default()
     }
 
     /// The slot of a function, and whether it is new.
-    pub(crate) fn function_slot(&mut self, id: FunctionId) -> (usize, bool) {
-        if let Some(&f) = self.function_ids.get(&id) {
-            return (f, false);
+    pub(crate) fn find_or_add_function(&mut self, id: FunctionId) -> (usize, bool) {
+        if let Some(&function_slot) = self.function_slots.get(&id) {
+            return (function_slot, false);
         }
-        let f = self.free_slots.pop().unwrap_or(self.functions.len());
-        if f == self.functions.len() {
+        let function_slot = self.free_slots.pop().unwrap_or(self.functions.len());
+        if function_slot == self.functions.len() {
             self.functions.push(Function::default());
         }
-        self.function_ids.insert(id, f);
-        (f, true)
+        self.function_slots.insert(id, function_slot);
+        (function_slot, true)
     }
 
     /// Forgets functions not called since `before` that have nothing in flight or queued. Bounds the memory.
     pub(crate) fn forget_idle_functions(&mut self, before: Micros) {
-        for f in 0..self.functions.len() {
-            let function = &self.functions[f];
+        for function_slot in 0..self.functions.len() {
+            let function = &self.functions[function_slot];
             let used = !function.queued.is_empty()
                 || function.copies.values().any(CopyRecord::in_use)
                 || function.last_call > before;
-            if used || self.function_ids.get(&function.id) != Some(&f) {
+            if used || self.function_slots.get(&function.id) != Some(&function_slot) {
                 continue;
             }
-            self.function_ids.remove(&function.id);
-            for w in std::mem::take(&mut self.functions[f]).copies.into_keys() {
-                self.workers[w].functions.remove(&f);
+            self.function_slots.remove(&function.id);
+            for worker_slot in std::mem::take(&mut self.functions[function_slot]).copies.into_keys() {
+                self.workers[worker_slot].functions.remove(&function_slot);
             }
-            self.free_slots.push(f);
+            self.free_slots.push(function_slot);
         }
     }
 
@@ -433,23 +435,31 @@
     }
 
     /// The action that sends a load command, or a copy query if `count` is 0.
-    pub(crate) fn load_action(&self, f: usize, w: usize, count: u32) -> Action {
-        Action::Load { worker: self.workers[w].entry.worker.clone(), function: self.functions[f].id, count }
+    pub(crate) fn load_action(&self, function_slot: usize, worker_slot: usize, count: u32) -> Action {
+        Action::Load {
+            worker: self.workers[worker_slot].entry.worker.clone(),
+            function: self.functions[function_slot].id,
+            count,
+        }
     }
 
     /// Slots of removed workers to which nothing refers any more. Reusing them bounds the memory.
     fn vacant_slots(&self) -> Vec<usize> {
-        let is_gone = |&w: &usize| self.workers[w].entry.state == WorkerState::Gone;
+        let is_gone = |&worker_slot: &usize| self.workers[worker_slot].entry.state == WorkerState::Gone;
         let gone: Vec<usize> = (0..self.workers.len()).filter(is_gone).collect();
         if gone.is_empty() {
             return gone;
         }
         let attempts = self.requests.values().flat_map(|r| r.attempts.iter().map(|a| a.worker));
         let attempted: BTreeSet<usize> = attempts.collect();
-        let is_vacant = |w: &usize| {
-            let (worker, functions) = (&self.workers[*w], &self.functions);
-            let used = |f: &usize| functions[*f].copies.get(w).is_some_and(CopyRecord::in_use);
-            worker.attempts.is_empty() && !worker.functions.iter().any(used) && !attempted.contains(w)
+        let is_vacant = |worker_slot: &usize| {
+            let (worker, functions) = (&self.workers[*worker_slot], &self.functions);
+            let used = |function_slot: &usize| {
+                functions[*function_slot].copies.get(worker_slot).is_some_and(CopyRecord::in_use)
+            };
+            worker.attempts.is_empty()
+                && !worker.functions.iter().any(used)
+                && !attempted.contains(worker_slot)
         };
         gone.into_iter().filter(is_vacant).rev().collect()
     }
@@ -459,23 +469,23 @@
         &mut self, entry: WorkerEntry, now: Micros, vacant: &mut Vec<usize>, score: ScoreFn,
     ) -> usize {
         let id = entry.worker.clone();
-        let w = vacant.pop().unwrap_or(self.workers.len());
-        if w < self.workers.len() {
-            self.forget_copies(w);
-            self.worker_ids.remove(&self.workers[w].entry.worker);
-            self.workers[w] = Worker::new(entry, now);
+        let worker_slot = vacant.pop().unwrap_or(self.workers.len());
+        if worker_slot < self.workers.len() {
+            self.forget_copies(worker_slot);
+            self.worker_slots.remove(&self.workers[worker_slot].entry.worker);
+            self.workers[worker_slot] = Worker::new(entry, now);
         } else {
             self.workers.push(Worker::new(entry, now));
         }
         let slots = self.workers.len();
         for function in self.functions.iter_mut().filter(|f| !f.preferred.is_empty()) {
             function.insert_preferred(
-                PreferredWorker { score: score(function.id, &id), worker: w as u32 },
+                PreferredWorker { score: score(function.id, &id), worker: worker_slot as u32 },
                 slots,
             );
         }
-        self.worker_ids.insert(id, w);
-        w
+        self.worker_slots.insert(id, worker_slot);
+        worker_slot
     }
 
     /// Applies an update of the worker list. Returns the workers whose process is new, and those whose copies
@@ -486,71 +496,76 @@
         let (mut listed, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
         let mut vacant = self.vacant_slots();
         for entry in entries {
-            let Some(&w) = self.worker_ids.get(&entry.worker) else {
+            let Some(&worker_slot) = self.worker_slots.get(&entry.worker) else {
                 if entry.state != WorkerState::Gone {
-                    let w = self.add_worker(entry, now, &mut vacant, score);
-                    listed.insert(w);
-                    started.push(w);
+                    let worker_slot = self.add_worker(entry, now, &mut vacant, score);
+                    listed.insert(worker_slot);
+                    started.push(worker_slot);
                 }
                 continue;
             };
-            listed.insert(w);
+            listed.insert(worker_slot);
             if entry.state == WorkerState::Ready {
-                self.workers[w].lease.confirm(now);
+                self.workers[worker_slot].lease.confirm(now);
             }
-            let known = &mut self.workers[w].entry;
+            let known = &mut self.workers[worker_slot].entry;
             let restarted = entry.started_at != known.started_at && entry.started_at != 0;
             let started_at = if restarted { entry.started_at } else { known.started_at };
             let gone = entry.state == WorkerState::Gone;
             *known = WorkerEntry { started_at, ..entry };
-            started.extend(restarted.then_some(w));
-            emptied.extend((restarted || gone).then_some(w));
+            started.extend(restarted.then_some(worker_slot));
+            emptied.extend((restarted || gone).then_some(worker_slot));
         }
-        for w in (0..self.workers.len()).filter(|w| full && !listed.contains(w)) {
-            self.workers[w].entry.state = WorkerState::Gone;
-            emptied.push(w);
+        for worker_slot in (0..self.workers.len()).filter(|worker_slot| full && !listed.contains(worker_slot))
+        {
+            self.workers[worker_slot].entry.state = WorkerState::Gone;
+            emptied.push(worker_slot);
         }
-        self.ready = (0..self.workers.len()).filter(|&w| self.workers[w].ready()).collect();
+        self.ready =
+            (0..self.workers.len()).filter(|&worker_slot| self.workers[worker_slot].ready()).collect();
         (started, emptied)
     }
 
     /// Memory in MB of the copies that are assumed to be loaded or are being loaded at a worker.
-    pub(crate) fn memory_used(&self, w: usize, now: Micros) -> f64 {
-        let memory = |&f: &usize| {
-            let (function, copy) = (&self.functions[f], self.functions[f].copies.get(&w));
+    pub(crate) fn memory_used(&self, worker_slot: usize, now: Micros) -> f64 {
+        let memory = |&function_slot: &usize| {
+            let (function, copy) =
+                (&self.functions[function_slot], self.functions[function_slot].copies.get(&worker_slot));
             copy.map_or(0.0, |copy| {
                 let loaded = if copy.warm(now) { f64::from(copy.count) } else { 0.0 };
                 function.memory_mb * loaded.max(f64::from(u8::from(copy.loading())))
             })
         };
-        self.workers[w].functions.iter().map(memory).sum()
+        self.workers[worker_slot].functions.iter().map(memory).sum()
     }
 
     /// Sends a load command.
-    pub(crate) fn send_load(&mut self, f: usize, w: usize, count: u32, now: Micros, out: &mut Vec<Action>) {
-        self.copy_record(f, w).command = Some(Command::Load(now));
+    pub(crate) fn send_load(
+        &mut self, function_slot: usize, worker_slot: usize, count: u32, now: Micros, out: &mut Vec<Action>,
+    ) {
+        self.copy_record(function_slot, worker_slot).command = Some(Command::Load(now));
         self.load_times.push_back(now);
         self.load_tokens -= 1.0;
-        self.workers[w].loads_in_flight += 1;
+        self.workers[worker_slot].loads_in_flight += 1;
         self.loads_in_flight += 1;
-        out.push(self.load_action(f, w, count));
+        out.push(self.load_action(function_slot, worker_slot, count));
     }
 
     /// Records an attempt that is sent; `cold` if the worker has to load the function for it. `times` are
     /// [`Attempt::expected_time`] and [`Attempt::overdue_after`].
     pub(crate) fn record_send(
-        &mut self, now: Micros, id: RequestId, w: usize, cold: bool, times: (f64, f64),
+        &mut self, now: Micros, id: RequestId, worker_slot: usize, cold: bool, times: (f64, f64),
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let function = &mut self.functions[request.function];
         function.queued.retain(|&queued| queued != id);
-        let copy = function.copies.entry(w).or_default();
+        let copy = function.copies.entry(worker_slot).or_default();
         (copy.our_inflight, copy.reserved) = (copy.our_inflight + 1, false);
         copy.cold_sends += u32::from(cold);
         self.loads_in_flight += u32::from(cold);
         let (expected_time, overdue_after) = times;
         request.attempts.push(Attempt {
-            worker: w,
+            worker: worker_slot,
             sent_at: now,
             expected_time,
             overdue_after,
@@ -561,66 +576,74 @@
             cancelled: false,
         });
         request.probing = None;
-        self.workers[w].functions.insert(request.function);
-        self.workers[w].attempts.insert((now, id, request.attempts.len() - 1));
+        self.workers[worker_slot].functions.insert(request.function);
+        self.workers[worker_slot].attempts.insert((now, id, request.attempts.len() - 1));
     }
 
     /// All workers in the function's preference order, highest score first. Ranks them anew at each call:
     /// [`Controller::preferred_workers`] is cheaper.
-    pub(crate) fn rank_all_workers(&self, f: usize, score: ScoreFn) -> Vec<usize> {
-        let (id, workers) = (self.functions[f].id, &self.workers);
+    pub(crate) fn rank_all_workers(&self, function_slot: usize, score: ScoreFn) -> Vec<usize> {
+        let (id, workers) = (self.functions[function_slot].id, &self.workers);
         let mut order: Vec<usize> = (0..workers.len()).collect();
-        order.sort_by_cached_key(|&w| std::cmp::Reverse(score(id, &workers[w].entry.worker)));
+        order.sort_by_cached_key(|&worker_slot| {
+            std::cmp::Reverse(score(id, &workers[worker_slot].entry.worker))
+        });
         order
     }
 
-    /// Head of the function's preference order, behind the `skipped` workers: [`MIN_PREFERRED`] workers, or at
-    /// least twice as many as it has copies. The head is cached, and updated as workers are added, so that the
-    /// cost per function does not grow with the fleet and a change of the list costs one score per function.
-    pub(crate) fn preferred_workers(&mut self, f: usize, skipped: usize, score: ScoreFn) -> Vec<usize> {
-        self.set_skipped(f, skipped, score);
-        let function = &self.functions[f];
+    /// Head of the function's preference order, behind the `skipped` workers: [`MIN_PREFERRED`] workers, or
+    /// at least twice as many as it has copies. The head is cached, and updated as workers are added, so that
+    /// the cost per function does not grow with the fleet and a change of the list costs one score per
+    /// function.
+    pub(crate) fn preferred_workers(
+        &mut self, function_slot: usize, skipped: usize, score: ScoreFn,
+    ) -> Vec<usize> {
+        self.set_skipped(function_slot, skipped, score);
+        let function = &self.functions[function_slot];
         if function.preferred.is_empty() || 2 * function.copies.len() > function.preferred_limit {
             let limit = MIN_PREFERRED.max((2 * function.copies.len()).next_power_of_two());
-            let preferred = self.rank_workers(f, skipped, limit, score);
-            let function = &mut self.functions[f];
+            let preferred = self.rank_workers(function_slot, skipped, limit, score);
+            let function = &mut self.functions[function_slot];
             (function.preferred, function.preferred_limit) = (preferred, limit);
         }
-        self.functions[f].preferred.iter().map(|p| p.worker as usize).collect()
+        self.functions[function_slot].preferred.iter().map(|p| p.worker as usize).collect()
     }
 
     /// Sets how many workers at the head of the preference order are left to other front ends. If the number
-    /// changes, forgets the copies at workers that are no longer preferred: they are the other front ends' concern.
-    pub(crate) fn set_skipped(&mut self, f: usize, skipped: usize, score: ScoreFn) {
-        if self.functions[f].skipped == skipped {
+    /// changes, forgets the copies at workers that are no longer preferred: they are the other front ends'
+    /// concern.
+    pub(crate) fn set_skipped(&mut self, function_slot: usize, skipped: usize, score: ScoreFn) {
+        if self.functions[function_slot].skipped == skipped {
             return;
         }
-        let preferred = self.rank_workers(f, skipped, MIN_PREFERRED, score);
+        let preferred = self.rank_workers(function_slot, skipped, MIN_PREFERRED, score);
         let ours: BTreeSet<usize> = preferred.iter().map(|p| p.worker as usize).collect();
-        let function = &mut self.functions[f];
+        let function = &mut self.functions[function_slot];
         (function.preferred, function.preferred_limit, function.skipped) =
             (preferred, MIN_PREFERRED, skipped);
-        for (w, copy) in &mut function.copies {
-            if !ours.contains(w) {
+        for (worker_slot, copy) in &mut function.copies {
+            if !ours.contains(worker_slot) {
                 (copy.count, copy.expires_at) = (0, 0);
             }
         }
         let workers = &mut self.workers;
-        function.copies.retain(|w, copy| {
-            let stays = ours.contains(w) || copy.in_use();
+        function.copies.retain(|worker_slot, copy| {
+            let stays = ours.contains(worker_slot) || copy.in_use();
             if !stays {
-                workers[*w].functions.remove(&f);
+                workers[*worker_slot].functions.remove(&function_slot);
             }
             stays
         });
     }
 
     /// Ranks the workers for a function and returns the first `limit` of them behind the `skipped` ones.
-    fn rank_workers(&self, f: usize, skipped: usize, limit: usize, score: ScoreFn) -> Vec<PreferredWorker> {
-        let id = self.functions[f].id;
-        let scored = |(w, worker): (usize, &Worker)| PreferredWorker {
+    fn rank_workers(
+        &self, function_slot: usize, skipped: usize, limit: usize, score: ScoreFn,
+    ) -> Vec<PreferredWorker> {
+        let id = self.functions[function_slot].id;
+        let scored = |(worker_slot, worker): (usize, &Worker)| PreferredWorker {
             score: score(id, &worker.entry.worker),
-            worker: w as u32,
+            worker: worker_slot as u32,
         };
         let mut order: Vec<PreferredWorker> = self.workers.iter().enumerate().map(scored).collect();
         let end = skipped + limit;
@@ -651,24 +674,29 @@
     }
 
     /// Queues a request until it can be placed.
-    pub(crate) fn enqueue(&mut self, f: usize, id: RequestId) {
-        if !self.functions[f].queued.contains(&id) {
-            self.functions[f].queued.push_back(id);
-            self.functions_with_queue.insert(f);
+    pub(crate) fn enqueue(&mut self, function_slot: usize, id: RequestId) {
+        if !self.functions[function_slot].queued.contains(&id) {
+            self.functions[function_slot].queued.push_back(id);
+            self.functions_with_queue.insert(function_slot);
         }
     }
 
     /// Queued requests of one function, or of all.
     pub(crate) fn queued(&mut self, only: Option<usize>) -> Vec<RequestId> {
         let functions = &self.functions;
-        self.functions_with_queue.retain(|&f| !functions[f].queued.is_empty());
-        let selected = self.functions_with_queue.iter().filter(|&&f| only.is_none_or(|o| o == f));
-        selected.flat_map(|&f| functions[f].queued.iter().copied()).collect()
+        self.functions_with_queue.retain(|&function_slot| !functions[function_slot].queued.is_empty());
+        let selected = self
+            .functions_with_queue
+            .iter()
+            .filter(|&&function_slot| only.is_none_or(|o| o == function_slot));
+        selected.flat_map(|&function_slot| functions[function_slot].queued.iter().copied()).collect()
     }
 
     /// Number of ready workers assumed to have the function loaded, and our requests in flight for it.
     pub(crate) fn copies_and_inflight(&self, function: &Function, now: Micros) -> (usize, f64) {
-        let warm = |(w, copy): &(&usize, &CopyRecord)| copy.warm(now) && self.workers[**w].ready();
+        let warm = |(worker_slot, copy): &(&usize, &CopyRecord)| {
+            copy.warm(now) && self.workers[**worker_slot].ready()
+        };
         let inflight = function.copies.values().map(|copy| copy.our_inflight).sum::<u32>();
         (function.copies.iter().filter(warm).count(), f64::from(inflight))
     }
--- a/tests/inside/controller.rs
+++ b/tests/inside/controller.rs
@@ -24,7 +24,7 @@
         }
     }
     // Four keep-alives of 0.9 s at fifty calls a second are 180 functions.
-    assert!(c.function_ids.len() < 250 && c.functions.len() < 250, "{} functions", c.functions.len());
+    assert!(c.function_slots.len() < 250 && c.functions.len() < 250, "{} functions", c.functions.len());
     assert!(c.requests.len() < 10, "{} requests", c.requests.len());
 }
 
@@ -70,7 +70,7 @@
         }
         c.handle(n * 1_000_000 + 990_000, Event::Withdrawn { id }, &mut Vec::new());
     }
-    assert!(c.workers.len() < 10 && c.worker_ids.len() < 10, "{} workers", c.workers.len());
+    assert!(c.workers.len() < 10 && c.worker_slots.len() < 10, "{} workers", c.workers.len());
 }
 
 #[test]
