--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -1,6 +1,6 @@
 //! Parses one entry of the discovery service's worker list.
 use crate::messages::{Member, Speech};
-use heronslip_policy::json::{parse, span, text, whole};
+use heronslip_policy::json::{millis, parse, string, unsigned};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
 
@@ -24,13 +24,13 @@
         return Err(InvalidInstance { id: None, reason: "the instance is not a JSON object".to_owned() });
     };
     member(&fields).map_err(|reason| {
-        let id = text(&fields, "instanceId").map(str::to_owned);
+        let id = string(&fields, "instanceId").map(str::to_owned);
         InvalidInstance { id, reason }
     })
 }
 
 fn member(fields: &Object) -> Result<Member, String> {
-    let required = |key: &str| text(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
+    let required = |key: &str| string(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
     let (id, address) = (required("instanceId")?.to_owned(), required("hostPort")?);
     Ok(Member {
         address: address.parse().map_err(|_| format!("{id}: invalid address {address}"))?,
@@ -40,10 +40,10 @@
             "gone" => WorkerState::Gone,
             other => return Err(format!("{id}: unknown lifecycle {other}")),
         },
-        started_at: span(fields, "startedAtMs"),
-        zone: text(fields, "zone").unwrap_or_default().to_owned(),
-        kind: text(fields, "machineType").unwrap_or_default().to_owned(),
-        cell: whole(fields, "cell").unwrap_or(0),
+        started_at: millis(fields, "startedAtMs"),
+        zone: string(fields, "zone").unwrap_or_default().to_owned(),
+        kind: string(fields, "machineType").unwrap_or_default().to_owned(),
+        cell: unsigned(fields, "cell").unwrap_or(0),
         speech: Speech::Frames,
         id,
     })
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -137,11 +137,11 @@
     Some(match code {
         CODE_OK => Outcome::Ok,
         CODE_NOT_LOADED => Outcome::Miss,
-        CODE_REJECTED => Outcome::Full,
+        CODE_REJECTED => Outcome::Rejected,
         CODE_ERROR => Outcome::Error,
-        CODE_EXPIRED => Outcome::Moot,
+        CODE_EXPIRED => Outcome::NotSent,
         CODE_ACCEPTING => Outcome::Ok,
-        CODE_NOT_ACCEPTING => Outcome::Full,
+        CODE_NOT_ACCEPTING => Outcome::Rejected,
         _ => return None,
     })
 }
@@ -771,7 +771,7 @@
         let (state, reports) = (&self.state, &self.reports);
         self.waiting.retain(|command| match command {
             Command::Start { key, condition, .. } if condition.has_expired(retired, now) => {
-                end_exchange(reports, state, *key, Outcome::Moot);
+                end_exchange(reports, state, *key, Outcome::NotSent);
                 false
             }
             _ => true,
@@ -788,7 +788,7 @@
         }
         for id in removed.ids {
             if let Some(exchange) = table.pending.remove(&id) {
-                end_exchange(&self.reports, &self.state, exchange.key, Outcome::Moot);
+                end_exchange(&self.reports, &self.state, exchange.key, Outcome::NotSent);
             }
         }
     }
@@ -854,7 +854,7 @@
     ) -> Result<bool, String> {
         let now = Instant::now();
         let Some((frame, write_by)) = first_frame.encode(now) else {
-            end_exchange(&self.reports, &self.state, key, Outcome::Moot);
+            end_exchange(&self.reports, &self.state, key, Outcome::NotSent);
             return Ok(false);
         };
         if !self.fits(&frame)? {
@@ -864,7 +864,7 @@
         if table.broken || table.is_id_in_use(id) {
             // Replies to two exchanges under one id could not be told apart, so the later one is not sent. That is
             // no failure of the worker.
-            let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::Moot };
+            let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::NotSent };
             drop(table);
             end_exchange(&self.reports, &self.state, key, outcome);
             return Ok(false);
@@ -951,7 +951,7 @@
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let reports_crowd = matches!(outcome, Outcome::Ok | Outcome::Full);
+                let reports_crowd = matches!(outcome, Outcome::Ok | Outcome::Rejected);
                 let crowd = if reports_crowd { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -7,7 +7,7 @@
 use crate::net::{spawn, timed_out};
 use crate::ring::Ring;
 use base64::{engine::general_purpose::STANDARD, Engine};
-use heronslip_policy::json::{as_text, list, object, parse, part, text, whole};
+use heronslip_policy::json::{array, as_object, as_str, object, parse, string, unsigned};
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use may::net::TcpStream;
 use may::sync::mpmc::{channel, Receiver, Sender};
@@ -68,9 +68,9 @@
 
 /// The bytes of the first output tensor of a v2 inference response.
 pub fn unwrap_response(response: &Object) -> Option<Vec<u8>> {
-    let output = list(response, "outputs").first().and_then(object)?;
-    let data = list(output, "data").first().and_then(as_text)?;
-    let is_base64 = part(output, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+    let output = array(response, "outputs").first().and_then(as_object)?;
+    let data = array(output, "data").first().and_then(as_str)?;
+    let is_base64 = object(output, "parameters").and_then(|p| string(p, "content_type")) == Some("base64");
     if is_base64 {
         STANDARD.decode(data).ok()
     } else {
@@ -319,7 +319,7 @@
     /// Returns the outcome that says whether the worker may have run the request.
     fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
         if self.must_not_start(job) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let mut stream = match self.stream.take() {
             Some((stream, last_used))
@@ -334,7 +334,7 @@
         };
         if self.must_not_start(job) {
             self.stream = Some((stream, Instant::now()));
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         self.write(&mut stream, job)?;
         let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
@@ -371,7 +371,7 @@
                 Err(e) if timed_out(&e) && stalled < self.limits.write_stall => {
                     stalled += self.limits.write_check;
                     if self.must_not_start(job) && ring.len() == job.bytes.len() {
-                        return Err(Outcome::Moot);
+                        return Err(Outcome::NotSent);
                     }
                 }
                 // A request that was not written completely cannot have run.
@@ -470,21 +470,21 @@
     match status {
         200 => Outcome::Ok,
         404 => Outcome::Miss,
-        429 | 503 => Outcome::Full,
+        429 | 503 => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
 fn attempt_report(reply: Reply, wrapped: bool) -> Report {
     let json = parse_json(&reply.body);
-    let response = json.as_ref().and_then(object);
-    let parameters = response.and_then(|r| part(r, "parameters"));
-    let warm = match parameters.and_then(|p| text(p, "detail")) {
+    let response = json.as_ref().and_then(as_object);
+    let parameters = response.and_then(|r| object(r, "parameters"));
+    let warm = match parameters.and_then(|p| string(p, "detail")) {
         Some("resident") => Some(true),
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = parameters.and_then(|p| whole(p, "company")).map(|n| n.min(MAX_REPORTED_COUNT) as u32);
+    let crowd = parameters.and_then(|p| unsigned(p, "company")).map(|n| n.min(MAX_REPORTED_COUNT) as u32);
     let mut outcome = outcome(reply.status);
     let payload = match outcome {
         Outcome::Ok if wrapped => response.and_then(unwrap_response).map(Payload::Bytes),
@@ -500,10 +500,10 @@
 /// The outcome of a load command or a copy query, and the number of loaded copies.
 fn load_result(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
     let (outcome, json) = (outcome(reply.status), parse_json(&reply.body));
-    let reported_copies = |o: &Object| whole(o, "slots_up").map(|n| n.min(MAX_REPORTED_COUNT) as u32);
+    let reported_copies = |o: &Object| unsigned(o, "slots_up").map(|n| n.min(MAX_REPORTED_COUNT) as u32);
     if copies > 0 {
         let reported =
-            json.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(reported_copies));
+            json.as_ref().and_then(as_object).and_then(|o| object(o, "parameters").and_then(reported_copies));
         let loaded = if outcome == Outcome::Ok { reported.unwrap_or(copies) } else { reported.unwrap_or(0) };
         return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, loaded);
     }
@@ -511,11 +511,11 @@
     let Some(Value::Array(models)) = &json else {
         return (if outcome == Outcome::Ok { Outcome::Error } else { outcome }, 0);
     };
-    let is_ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
+    let is_ready = |m: &&Object| string(m, "name") == Some(&name) && string(m, "state") == Some("READY");
     let loaded = models
         .iter()
-        .filter_map(object)
+        .filter_map(as_object)
         .filter(is_ready)
-        .map(|m| part(m, "parameters").and_then(reported_copies).unwrap_or(1));
+        .map(|m| object(m, "parameters").and_then(reported_copies).unwrap_or(1));
     (outcome, loaded.sum())
 }
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -29,7 +29,7 @@
 pub mod stand_ins;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use heronslip_policy::json::{list, object, parse, part, text};
+use heronslip_policy::json::{array, as_object, object, parse, string};
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -348,10 +348,10 @@
         loop {
             let response = http_get(self.admin, "/v1/state");
             let json = parse(response.split_once("\r\n\r\n").expect("a body").1).expect("JSON");
-            let is_worker = |e: &&miniserde::json::Object| text(e, "name") == Some(worker);
-            let endpoints = list(object(&json).expect("an object"), "endpoints");
-            let found = endpoints.iter().filter_map(object).find(is_worker);
-            if found.map_or(Some("absent"), |e| text(e, "state")) == Some(state) {
+            let is_worker = |e: &&miniserde::json::Object| string(e, "name") == Some(worker);
+            let endpoints = array(as_object(&json).expect("an object"), "endpoints");
+            let found = endpoints.iter().filter_map(as_object).find(is_worker);
+            if found.map_or(Some("absent"), |e| string(e, "state")) == Some(state) {
                 return;
             }
             assert!(since.elapsed() < TIMEOUT, "{context}: {response}");
@@ -495,13 +495,13 @@
 fn content(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
     let Ok(json) = parse(&plain) else { return plain };
-    let Some(fields) = object(&json) else { return plain };
+    let Some(fields) = as_object(&json) else { return plain };
     let tensors =
-        if fields.contains_key("inputs") { list(fields, "inputs") } else { list(fields, "outputs") };
-    let Some(tensor) = tensors.first().and_then(object) else { return plain };
+        if fields.contains_key("inputs") { array(fields, "inputs") } else { array(fields, "outputs") };
+    let Some(tensor) = tensors.first().and_then(as_object) else { return plain };
     let data =
-        list(tensor, "data").first().and_then(heronslip_policy::json::as_text).expect("data").to_owned();
-    let is_base64 = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
+        array(tensor, "data").first().and_then(heronslip_policy::json::as_str).expect("data").to_owned();
+    let is_base64 = object(tensor, "parameters").and_then(|p| string(p, "content_type")) == Some("base64");
     if is_base64 {
         String::from_utf8(STANDARD.decode(data).expect("base64")).expect("text")
     } else {
@@ -870,8 +870,8 @@
         } else {
             assert_eq!(target, format!("/v2/models/{FUNCTION}/infer"));
             let json = parse(&String::from_utf8_lossy(&body)).expect("JSON");
-            let parameters = part(object(&json).expect("an object"), "parameters").expect("parameters");
-            let parameter = |name: &str| text(parameters, name).unwrap_or("-").to_owned();
+            let parameters = object(as_object(&json).expect("an object"), "parameters").expect("parameters");
+            let parameter = |name: &str| string(parameters, name).unwrap_or("-").to_owned();
             let (class, key, body) = (parameter("class"), parameter("token"), content(&body));
             let stream = stream.try_clone().expect("cloned");
             let _ = calls.send(Call {
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -33,7 +33,7 @@
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::Moot),
+        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::NotSent),
         _ => panic!("the load command did not end"),
     }
     drop((transport, fillers)); // closes every connection from this side
@@ -225,7 +225,7 @@
     }
     transport.send_attempt(second, &request(9), 1_000_000, None);
     write_reply(&mut stream, 200, 9, ""); // the reply to the first call
-    assert_eq!(attempt_end(&reports), (second, Outcome::Moot));
+    assert_eq!(attempt_end(&reports), (second, Outcome::NotSent));
 }
 
 /// A call that was rejected without a run may be sent again to the same worker, on the same connection and under its id.
@@ -236,7 +236,7 @@
     let limits = Limits::new(192, 1024, &Settings::default());
     let mut transport = frame_transport(listener.local_addr().expect("bound"), limits, queue);
     let mut stream = None;
-    for (attempt, (code, outcome)) in [(203, Outcome::Full), (200, Outcome::Ok)].into_iter().enumerate() {
+    for (attempt, (code, outcome)) in [(203, Outcome::Rejected), (200, Outcome::Ok)].into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
         transport.send_attempt(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
