--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -3,7 +3,7 @@
 
 use common::stand_ins::{counting_worker, obliging_worker};
 use common::{call, connect, fastcgi_answer, Plan, Stage, PATIENCE};
-use heronslip_shim_control::{Call, ControlFile, Rates, CALLS, CONTROL_VARIABLE};
+use heronslip_shim_control::{ControlFile, FailureRates, SystemCall, CONTROL_VARIABLE, SYSTEM_CALLS};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::Command;
@@ -22,14 +22,14 @@
 }
 
 /// Thousandths of the calls of some kinds.
-fn rates(of: &[(Call, u32)]) -> Rates {
-    let mut rates = [0; CALLS.len()];
+fn rates(of: &[(SystemCall, u32)]) -> FailureRates {
+    let mut rates = [0; SYSTEM_CALLS.len()];
     of.iter().for_each(|(call, rate)| rates[*call as usize] = *rate);
     rates
 }
 
 /// The environment that loads the shim, and the file that controls it.
-fn failing(rates: Rates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
+fn failing(rates: FailureRates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
     static FILES: AtomicU64 = AtomicU64::new(0);
     let name = format!("control-{}-{}", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -42,7 +42,7 @@
 #[test]
 fn an_interrupted_read_loses_no_answer() {
     let (worker, calls) = counting_worker();
-    let (environment, _) = failing(rates(&[(Call::Read, 800)]));
+    let (environment, _) = failing(rates(&[(SystemCall::Read, 800)]));
     let stage = Stage::with(Plan { workers: vec![worker], environment, ..Plan::default() });
     let body = "x".repeat(4_000);
     for id in 1..=30 {
@@ -60,7 +60,7 @@
     let (environment, control) = failing(rates(&[]));
     let workers = vec![obliging_worker()];
     let mut stage = Stage::with(Plan { workers, environment, ..Plan::default() });
-    control.set_rates(&rates(&[(Call::Accept, 1_000)])).expect("written");
+    control.set_rates(&rates(&[(SystemCall::Accept, 1_000)])).expect("written");
     let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(stage.front))).collect();
     for (id, client) in &mut clients {
         client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
@@ -79,10 +79,10 @@
 /// No socket is to be had when the program starts: it goes on trying, and listens once there is one.
 #[test]
 fn a_start_waits_for_a_socket() {
-    let (environment, control) = failing(rates(&[(Call::Socket, 1_000)]));
+    let (environment, control) = failing(rates(&[(SystemCall::Socket, 1_000)]));
     let until = Instant::now() + PATIENCE;
     let frees = std::thread::spawn(move || {
-        let tries = || control.injected().expect("read")[Call::Socket as usize];
+        let tries = || control.injected().expect("read")[SystemCall::Socket as usize];
         while tries() < 3 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -97,7 +97,7 @@
 /// Accepts, sockets, connects, reads, writes and waits fail often, each for a moment: every call gets its answer.
 #[test]
 fn calls_are_answered_while_system_calls_fail() {
-    use Call::{Accept, Connect, Read, Socket, Wait, Write};
+    use SystemCall::{Accept, Connect, Read, Socket, Wait, Write};
     let often = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
     let (environment, _) = failing(rates(&often));
     let workers = vec![obliging_worker(), obliging_worker(), obliging_worker()];
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use heronslip_scale::experiment::Experiment;
-use heronslip_scale::soak::{PlayReport, SoakConfig, SoakError, SoakOptions};
+use heronslip_scale::soak::{RunReport, SoakConfig, SoakError, SoakOptions};
 use heronslip_scale::{bounds, fleet, node};
 use serde::Serialize;
 use std::error::Error;
@@ -198,9 +198,9 @@
     Ok(runtime.block_on(heronslip_scale::soak::soak(&options, print_play))?)
 }
 
-fn print_play(report: &PlayReport) {
-    let plan = &report.plan;
-    let count = |name: &str| report.answers.get(name).copied().unwrap_or(0);
+fn print_play(report: &RunReport) {
+    let plan = &report.scenario;
+    let count = |name: &str| report.responses.get(name).copied().unwrap_or(0);
     let rules: std::collections::BTreeSet<String> =
         report.violations.iter().map(|violation| violation.rule.to_string()).collect();
     let rules =
@@ -208,12 +208,12 @@
     println!(
         "| {} | {:.0} | {}, {} | {} | {} | {:.1}% | {}, {} | {} | {rules} |",
         plan.seed,
-        plan.length as f64 / 1e6,
+        plan.duration as f64 / 1e6,
         plan.front_ends,
         plan.workers,
-        plan.fault_names(),
+        plan.fault_summary(),
         report.requests,
-        report.served(),
+        report.served_percent(),
         count("refused"),
         count("failed"),
         report.probes,
@@ -221,5 +221,5 @@
     if !report.never_injected.is_empty() {
         println!("seed {}: wanted and never injected: {}", plan.seed, report.never_injected.join(", "));
     }
-    report.stories.iter().for_each(|story| eprintln!("seed {}: {story}", plan.seed));
+    report.violation_traces.iter().for_each(|story| eprintln!("seed {}: {story}", plan.seed));
 }
--- a/scale/src/soak/checker/discovery.rs
+++ b/scale/src/soak/checker/discovery.rs
@@ -1,113 +1,133 @@
-//! What each front end counts as told of the list, and the rule on workers that drain.
-use super::{Rule, Rules, Violation, MS, SLACK};
-use crate::soak::record::{At, Command, Event, Listing, Outage, Record, Signal};
+//! When each front end counts as notified of a worker list change, and the rule on draining workers.
+use super::{Rule, Rules, Violation, MILLISECOND, TOLERANCE};
+use crate::soak::record::{Command, Event, Micros, Outage, Record, Signal, WorkerState};
 use std::collections::BTreeMap;
 
-/// What the board would have told counts as told so long after it broke off, ...
-const TOLD_AFTER_BREAK: At = 2_000 * MS;
-/// ... so long after it went silent, or after SIGHUP told of a move, or as soon as the front end asks again.
-const TOLD_AFTER_SILENCE: At = 4_000 * MS;
+/// After its discovery connection has broken, a front end counts as notified of all changes from this time
+/// on.
+const NOTIFIED_AFTER_BREAK: Micros = 2_000 * MILLISECOND;
+/// The same after the discovery server has gone silent, or after SIGHUP has announced a new address.
+const NOTIFIED_AFTER_SILENCE: Micros = 4_000 * MILLISECOND;
 
-/// A time in which a front end may not have been able to hear the board.
+/// A time in which a front end may not receive worker list changes.
 struct Gap {
-    from: At,
-    to: At,
-    told_after: At,
+    from: Micros,
+    /// `Micros::MAX` while the gap is open.
+    to: Micros,
+    /// Time from the gap's start to when the front end counts as notified.
+    notified_after: Micros,
 }
 
-/// When each front end counts as told of each version of the list.
-pub(super) struct Told {
+/// When each front end counts as notified of each version of the worker list.
+pub(super) struct Notifications {
     gaps: BTreeMap<usize, Vec<Gap>>,
-    /// When each was written to, started with or asked for something, and up to which version that tells.
-    heard: BTreeMap<usize, Vec<(At, u64)>>,
+    /// For each front end, when it was sent, started with or requested the list, and the version up to which
+    /// that counts.
+    received: BTreeMap<usize, Vec<(Micros, u64)>>,
 }
 
-impl Told {
-    pub(super) fn of(records: &[Record]) -> Told {
-        let mut told = Told { gaps: BTreeMap::new(), heard: BTreeMap::new() };
-        let mut version = 0;
+impl Notifications {
+    pub(super) fn from_records(records: &[Record]) -> Notifications {
+        let mut notifications = Notifications { gaps: BTreeMap::new(), received: BTreeMap::new() };
+        let mut current_version = 0;
         for Record { at, event } in records {
             let at = *at;
             match event {
-                Event::Listed { version: now, .. } => version = *now,
-                Event::Started { front_end, version } => {
-                    told.heard.entry(*front_end).or_default().push((at, *version));
+                Event::WorkerListChanged { version, .. } => current_version = *version,
+                Event::FrontEndStarted { front_end, version } => {
+                    notifications.received.entry(*front_end).or_default().push((at, *version));
                 }
-                Event::BoardTold { front_end, version } => {
-                    told.heard.entry(*front_end).or_default().push((at, *version));
+                Event::DiscoverySent { front_end, version } => {
+                    notifications.received.entry(*front_end).or_default().push((at, *version));
                 }
-                Event::BoardAsked { front_end } => {
-                    told.close_moves(*front_end, at);
-                    told.heard.entry(*front_end).or_default().push((at, version));
+                Event::DiscoveryRequested { front_end } => {
+                    notifications.close_silent_gaps(*front_end, at);
+                    notifications.received.entry(*front_end).or_default().push((at, current_version));
                 }
                 Event::OutageBegan { front_end, outage } => {
-                    let told_after = match outage {
-                        Outage::Refused | Outage::MidEvent => TOLD_AFTER_BREAK,
-                        Outage::Silent | Outage::Hanging => TOLD_AFTER_SILENCE,
+                    let notified_after = match outage {
+                        Outage::Refused | Outage::MidEvent => NOTIFIED_AFTER_BREAK,
+                        Outage::Silent | Outage::Hanging => NOTIFIED_AFTER_SILENCE,
                     };
-                    told.open(*front_end, at, told_after);
+                    notifications.open_gap(*front_end, at, notified_after);
                 }
-                Event::OutageEnded { front_end } => told.close(*front_end, at),
-                Event::Signalled { front_end, signal: Signal::Hup } => {
-                    told.open(*front_end, at, TOLD_AFTER_SILENCE);
+                Event::OutageEnded { front_end } => notifications.close_gaps(*front_end, at),
+                Event::SignalSent { front_end, signal: Signal::Hup } => {
+                    notifications.open_gap(*front_end, at, NOTIFIED_AFTER_SILENCE);
                 }
                 _ => {}
             }
         }
-        told
+        notifications
     }
 
-    fn open(&mut self, front_end: usize, from: At, told_after: At) {
-        self.gaps.entry(front_end).or_default().push(Gap { from, to: At::MAX, told_after });
+    fn open_gap(&mut self, front_end: usize, from: Micros, notified_after: Micros) {
+        self.gaps.entry(front_end).or_default().push(Gap { from, to: Micros::MAX, notified_after });
     }
 
-    fn close(&mut self, front_end: usize, at: At) {
-        for gap in self.gaps.entry(front_end).or_default().iter_mut().filter(|gap| gap.to == At::MAX) {
+    fn close_gaps(&mut self, front_end: usize, at: Micros) {
+        let gaps = self.gaps.entry(front_end).or_default().iter_mut();
+        for gap in gaps.filter(|gap| gap.to == Micros::MAX) {
             gap.to = at;
         }
     }
 
-    /// A front end that asks has followed the move.
-    fn close_moves(&mut self, front_end: usize, at: At) {
-        let open = self.gaps.entry(front_end).or_default().iter_mut().filter(|gap| gap.to == At::MAX);
-        open.filter(|gap| gap.told_after == TOLD_AFTER_SILENCE).for_each(|gap| gap.to = at);
+    /// Closes the gaps that a new address or a silent server opened: a front end that sends a request has
+    /// reconnected.
+    fn close_silent_gaps(&mut self, front_end: usize, at: Micros) {
+        let open = self.gaps.entry(front_end).or_default().iter_mut().filter(|gap| gap.to == Micros::MAX);
+        open.filter(|gap| gap.notified_after == NOTIFIED_AFTER_SILENCE).for_each(|gap| gap.to = at);
     }
 
-    /// When a front end counts as told of a version that was listed at this time.
-    pub(super) fn at(&self, front_end: usize, version: u64, listed: At) -> At {
+    /// When a front end counts as notified of a version that was published at `published_at`: when it
+    /// received it, at the latest the bound of a gap that was open then.
+    pub(super) fn notified_at(&self, front_end: usize, version: u64, published_at: Micros) -> Micros {
         let gaps = self.gaps.get(&front_end).map_or(&[][..], Vec::as_slice);
-        let unheard = gaps.iter().filter(|gap| gap.from <= listed && listed < gap.to);
-        let latest = unheard.map(|gap| gap.from + gap.told_after).fold(listed, At::max);
-        let heard = self.heard.get(&front_end).map_or(&[][..], Vec::as_slice);
-        let first = heard.iter().find(|(at, to)| *at >= listed && *to >= version).map(|(at, _)| *at);
-        first.unwrap_or(At::MAX).min(latest)
+        let open_gaps = gaps.iter().filter(|gap| gap.from <= published_at && published_at < gap.to);
+        let latest = open_gaps.map(|gap| gap.from + gap.notified_after).fold(published_at, Micros::max);
+        let received = self.received.get(&front_end).map_or(&[][..], Vec::as_slice);
+        let first = received
+            .iter()
+            .find(|(at, received)| *at >= published_at && *received >= version)
+            .map(|(at, _)| *at);
+        first.unwrap_or(Micros::MAX).min(latest)
     }
 }
 
-/// Nothing new, call or order to load, goes to a worker that drains later than the grace after that was told.
-pub(super) fn check(records: &[Record], rules: &Rules, told: &Told, found: &mut Vec<Violation>) {
-    // Of each process that drains: the version that tells it, and when that was listed.
-    let mut drains: BTreeMap<(usize, u32), (u64, At)> = BTreeMap::new();
+/// Checks that a worker gets no new call and no load command after the drain grace period, which begins when
+/// the front end is notified of the drain.
+pub(super) fn check(
+    records: &[Record], rules: &Rules, notifications: &Notifications, violations: &mut Vec<Violation>,
+) {
+    // The version that announced the drain of a worker's process, and when that was published.
+    let mut drains: BTreeMap<(usize, u32), (u64, Micros)> = BTreeMap::new();
     for Record { at, event } in records {
         match event {
-            Event::Listed { version, worker, process, state: Listing::Draining | Listing::Gone, .. } => {
+            Event::WorkerListChanged {
+                version,
+                worker,
+                process,
+                state: WorkerState::Draining | WorkerState::Gone,
+                ..
+            } => {
                 drains.entry((*worker, *process)).or_insert((*version, *at));
             }
-            Event::Received { worker, process, front_end, began, command, .. } => {
+            Event::CommandReceived { worker, process, front_end, first_byte_at, command, .. } => {
                 let (what, request) = match command {
                     Command::Call { request, .. } => ("a call", Some(*request)),
-                    Command::Order { copies: 1.. } => ("an order to load", None),
+                    Command::Load { copies: 1.. } => ("a load command", None),
                     _ => continue,
                 };
-                let Some(&(version, listed)) = drains.get(&(*worker, *process)) else { continue };
-                let until = told.at(*front_end, version, listed).saturating_add(rules.drain_grace + SLACK);
-                if *began > until {
-                    let late = (began - until) / MS;
+                let Some(&(version, published_at)) = drains.get(&(*worker, *process)) else { continue };
+                let notified_at = notifications.notified_at(*front_end, version, published_at);
+                let until = notified_at.saturating_add(rules.drain_grace + TOLERANCE);
+                if *first_byte_at > until {
+                    let late_ms = (first_byte_at - until) / MILLISECOND;
                     let text = format!(
-                        "{what} from front end {front_end} to worker {worker}, {late} ms after the grace; it drains since {:.3} s",
-                        listed as f64 / 1e6
+                        "{what} from front end {front_end} to worker {worker}, {late_ms} ms after the drain grace period; the worker drains since {:.3} s",
+                        published_at as f64 / 1e6
                     );
-                    found.push(Violation { rule: Rule::Drain, at: *began, request, text });
+                    violations.push(Violation { rule: Rule::Drain, at: *first_byte_at, request, text });
                 }
             }
             _ => {}
--- a/scale/src/soak/checker/mod.rs
+++ b/scale/src/soak/checker/mod.rs
@@ -1,93 +1,94 @@
-//! Judges a record by the published rules. It knows nothing of the program but what the record holds.
+//! Judges a record by the published rules, from what the record holds alone.
 mod attempts;
 mod discovery;
 mod processes;
 mod requests;
 mod slow_start;
 
-use super::record::{At, Record};
+use super::record::{Micros, Record};
 use serde::Serialize;
 use std::fmt;
 
 /// Microseconds in a millisecond.
-const MS: At = 1_000;
-/// Every time limit of the rules is so much longer on sockets.
-pub(crate) const SLACK: At = 50 * MS;
+const MILLISECOND: Micros = 1_000;
+/// Added to every time limit of the rules, for delays on sockets.
+pub(crate) const TOLERANCE: Micros = 50 * MILLISECOND;
 
-/// What repeating a call may do, by its class.
+/// Whether a call of a class may be retried after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// May run any number of times.
+pub enum RetrySafety {
+    /// It may run any number of times.
     Safe,
-    /// Repeats are dropped by all workers for so long after the first.
-    Keyed {
-        /// Microseconds.
-        window: At,
+    /// All workers drop duplicates for a while after the first run.
+    Deduplicated {
+        /// How long duplicates are dropped.
+        window: Micros,
     },
-    /// Must never run twice.
+    /// It must never run twice.
     Unsafe,
 }
 
-/// The figures that the rules are judged with, as the settings state them.
+/// The parameters of the rules, as the settings of the front ends state them.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Effects of the classes, by their position.
-    pub classes: Vec<Effect>,
-    /// Sends to a worker must cease so long after the front end was told that it drains.
-    pub drain_grace: At,
-    /// Attempts that a request may have.
+    /// Retry safety of each class, by the class's index.
+    pub retry_safety: Vec<RetrySafety>,
+    /// How long after the notification of a drain a front end may still send to the worker.
+    pub drain_grace: Micros,
+    /// Highest number of attempts of a request.
     pub max_attempts: usize,
-    /// A cold worker falls at more than this multiple of its capacity ...
-    pub fall_multiple: f64,
-    /// ... over this span.
-    pub fall_span: At,
-    /// Share of its capacity with which a worker starts.
-    pub cold_from: f64,
-    /// After this it has all of it.
-    pub warm_within: At,
-    /// Calls of mean work that a warm worker does a second.
+    /// A worker that warms up is overloaded by more than this multiple of its capacity ...
+    pub overload_multiple: f64,
+    /// ... within this time.
+    pub overload_window: Micros,
+    /// Share of its capacity that a worker has when it starts.
+    pub cold_capacity: f64,
+    /// Time after which a worker has its full capacity; the share grows linearly until then.
+    pub warm_up_time: Micros,
+    /// Calls of mean execution time that a warm worker serves a second.
     pub capacity_per_s: f64,
-    /// Descriptors that a front end may hold.
-    pub descriptors: u64,
-    /// Memory that it may hold, in MB.
-    pub memory_mb: f64,
+    /// Highest number of file descriptors of a front end.
+    pub max_descriptors: u64,
+    /// Highest resident memory of a front end, in MB.
+    pub max_memory_mb: f64,
 }
 
-/// The rules, as their pages name them.
+/// The rules, by their published names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request taken gets one final answer in time.
+    /// Each accepted request gets a final response in time.
     Lost,
-    /// One final answer, with the body that was made for it.
+    /// A request gets one final response, and one with status 200 has the body that a worker produced for the
+    /// request.
     Answer,
-    /// No effect twice.
+    /// A call that must not run twice does not.
     Duplicate,
-    /// No two attempts out together.
+    /// Attempts of a request do not overlap.
     Overlap,
-    /// Nothing new to a worker that drains.
+    /// A draining worker gets no new calls and no load commands.
     Drain,
-    /// A starting worker is not pushed over.
+    /// A starting worker is not overloaded.
     SlowStart,
-    /// No attempt for a client that has left, or after the answer.
+    /// No attempt begins after the client has cancelled the request or received a response.
     LateAttempt,
-    /// A worker is told of no more time than is left.
+    /// The budget stated to a worker is no longer than the remaining time.
     Budget,
-    /// No more attempts than allowed.
+    /// A request has no more attempts than allowed.
     Attempts,
-    /// A front end does not end by itself.
+    /// A front end does not exit without a signal.
     Crash,
-    /// It is ready in time.
+    /// A front end becomes ready in time.
     Ready,
-    /// It keeps to its limits.
+    /// A front end stays within its limits of descriptors and memory.
     Limits,
-    /// Bad clients get a word or a close.
+    /// A client that sends nothing, or no valid request, gets some bytes or a close in time.
     BadClient,
 }
 
 impl fmt::Display for Rule {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(match self {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
             Rule::Lost => "lost",
             Rule::Answer => "answer",
             Rule::Duplicate => "duplicate",
@@ -105,28 +106,28 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When.
-    pub at: At,
-    /// The request it is about, if it is about one.
+    /// When it was violated.
+    pub at: Micros,
+    /// The request that it concerns, if it concerns a single one.
     pub request: Option<u64>,
     /// What happened, with figures.
     pub text: String,
 }
 
-/// All broken rules of a record, in the order of their times.
+/// All violations in a record, sorted by time.
 pub fn check(records: &[Record], rules: &Rules) -> Vec<Violation> {
-    let mut found = Vec::new();
-    requests::check(records, &mut found);
-    attempts::check(records, rules, &mut found);
-    let told = discovery::Told::of(records);
-    discovery::check(records, rules, &told, &mut found);
-    slow_start::check(records, rules, &told, &mut found);
-    processes::check(records, rules, &mut found);
-    found.sort_by_key(|violation| (violation.at, violation.rule));
-    found
+    let mut violations = Vec::new();
+    requests::check(records, &mut violations);
+    attempts::check(records, rules, &mut violations);
+    let notifications = discovery::Notifications::from_records(records);
+    discovery::check(records, rules, &notifications, &mut violations);
+    slow_start::check(records, rules, &notifications, &mut violations);
+    processes::check(records, rules, &mut violations);
+    violations.sort_by_key(|violation| (violation.at, violation.rule));
+    violations
 }
--- a/scale/src/soak/checker/processes.rs
+++ b/scale/src/soak/checker/processes.rs
@@ -1,74 +1,95 @@
-//! Front-end processes: they do not end by themselves, are ready in time and keep to their limits; bad clients hear
-//! something.
-use super::{Rule, Rules, Violation, MS};
-use crate::soak::record::{At, Event, Record, Signal};
+//! The rules on front-end processes: they do not crash, become ready in time, stay within their limits and
+//! answer or close the connections of bad clients.
+use super::{Rule, Rules, Violation, MILLISECOND};
+use crate::soak::record::{Event, Micros, Record, Signal};
 use std::collections::BTreeMap;
 
-/// A restarted front end is ready within this.
-const READY_WITHIN: At = 10_000 * MS;
-/// A bad client gets a word or a close within this of connecting.
-const WORD_WITHIN: At = 3_000 * MS;
-/// The tool's own way of noticing.
-const NOTICE: At = 250 * MS;
+/// Time in which a started front end must become ready.
+const READY_TIMEOUT: Micros = 10_000 * MILLISECOND;
+/// Time in which a bad client must receive some bytes or a close.
+const BAD_CLIENT_TIMEOUT: Micros = 3_000 * MILLISECOND;
+/// Tolerance for the time in which the stand-in client notices the answer.
+const DETECTION_TOLERANCE: Micros = 250 * MILLISECOND;
 
 #[derive(Default)]
 struct Process {
-    started: At,
+    started_at: Micros,
     ready: bool,
-    ordered: bool,
+    /// Whether a signal that ends it was sent.
+    terminated: bool,
 }
 
-pub(super) fn check(records: &[Record], rules: &Rules, found: &mut Vec<Violation>) {
+pub(super) fn check(records: &[Record], rules: &Rules, violations: &mut Vec<Violation>) {
     let end = records.last().map_or(0, |r| r.at);
     let mut processes: BTreeMap<usize, Process> = BTreeMap::new();
-    let mut waiting: BTreeMap<u64, (At, usize)> = BTreeMap::new();
-    let mut report = |rule, at, text: String| found.push(Violation { rule, at, request: None, text });
+    let mut bad_clients: BTreeMap<u64, (Micros, usize)> = BTreeMap::new();
+    let mut report = |rule, at, text: String| violations.push(Violation { rule, at, request: None, text });
     for Record { at, event } in records {
         let at = *at;
         match event {
-            Event::Started { front_end, .. } => {
-                processes.insert(*front_end, Process { started: at, ..Process::default() });
+            Event::FrontEndStarted { front_end, .. } => {
+                processes.insert(*front_end, Process { started_at: at, ..Process::default() });
             }
-            Event::Ready { front_end } => {
+            Event::FrontEndReady { front_end } => {
                 let process = processes.entry(*front_end).or_default();
                 process.ready = true;
-                let took = at - process.started;
-                if took > READY_WITHIN {
-                    report(Rule::Ready, at, format!("front end {front_end} after {} ms", took / MS));
+                let time_to_ready = at - process.started_at;
+                if time_to_ready > READY_TIMEOUT {
+                    report(
+                        Rule::Ready,
+                        at,
+                        format!(
+                            "front end {front_end} became ready after {} ms",
+                            time_to_ready / MILLISECOND
+                        ),
+                    );
                 }
             }
-            Event::Signalled { front_end, signal: Signal::Term | Signal::Kill } => {
-                processes.entry(*front_end).or_default().ordered = true;
+            Event::SignalSent { front_end, signal: Signal::Term | Signal::Kill } => {
+                processes.entry(*front_end).or_default().terminated = true;
             }
-            Event::Ended { front_end, how, .. } if !processes.entry(*front_end).or_default().ordered => {
-                report(Rule::Crash, at, format!("front end {front_end} ended by itself: {how}"));
+            Event::FrontEndExited { front_end, exit_status, .. }
+                if !processes.entry(*front_end).or_default().terminated =>
+            {
+                report(
+                    Rule::Crash,
+                    at,
+                    format!("front end {front_end} exited without a signal: {exit_status}"),
+                );
             }
-            Event::Usage { front_end, descriptors, memory_mb } => {
-                if *descriptors > rules.descriptors {
-                    report(Rule::Limits, at, format!("front end {front_end}: {descriptors} descriptors"));
+            Event::ResourceUsage { front_end, descriptors, memory_mb } => {
+                if *descriptors > rules.max_descriptors {
+                    report(Rule::Limits, at, format!("front end {front_end} uses {descriptors} descriptors"));
                 }
-                if *memory_mb > rules.memory_mb {
-                    report(Rule::Limits, at, format!("front end {front_end}: {memory_mb:.1} MB"));
+                if *memory_mb > rules.max_memory_mb {
+                    report(Rule::Limits, at, format!("front end {front_end} uses {memory_mb:.1} MB"));
                 }
             }
-            Event::BadClient { front_end, client } => {
-                waiting.insert(*client, (at, *front_end));
+            Event::BadClientConnected { front_end, client } => {
+                bad_clients.insert(*client, (at, *front_end));
             }
-            Event::BadClientHeard { client } => {
-                let since = waiting.remove(client).map_or(at, |(since, _)| since);
-                if at > since + WORD_WITHIN + NOTICE {
-                    report(Rule::BadClient, at, format!("a word after {} ms", (at - since) / MS));
+            Event::BadClientAnswered { client } => {
+                let connected_at = bad_clients.remove(client).map_or(at, |(connected_at, _)| connected_at);
+                if at > connected_at + BAD_CLIENT_TIMEOUT + DETECTION_TOLERANCE {
+                    report(
+                        Rule::BadClient,
+                        at,
+                        format!("first bytes or close after {} ms", (at - connected_at) / MILLISECOND),
+                    );
                 }
             }
             _ => {}
         }
     }
-    for (since, front_end) in waiting.into_values().filter(|(since, _)| end > since + WORD_WITHIN + NOTICE) {
-        report(Rule::BadClient, since, format!("no word from front end {front_end}"));
+    let unanswered = bad_clients
+        .into_values()
+        .filter(|(connected_at, _)| end > connected_at + BAD_CLIENT_TIMEOUT + DETECTION_TOLERANCE);
+    for (connected_at, front_end) in unanswered {
+        report(Rule::BadClient, connected_at, format!("no bytes or close from front end {front_end}"));
     }
     for (front_end, process) in &processes {
-        if !process.ready && !process.ordered && end > process.started + READY_WITHIN {
-            report(Rule::Ready, process.started, format!("front end {front_end} never was ready"));
+        if !process.ready && !process.terminated && end > process.started_at + READY_TIMEOUT {
+            report(Rule::Ready, process.started_at, format!("front end {front_end} never became ready"));
         }
     }
 }
--- a/scale/src/soak/checker/slow_start.rs
+++ b/scale/src/soak/checker/slow_start.rs
@@ -1,65 +1,77 @@
-//! A worker that has just started gets no more, from all front ends together, than it can do.
-use super::discovery::Told;
-use super::{Rule, Rules, Violation, SLACK};
-use crate::soak::record::{At, Command, Event, Listing, Record};
+//! The rule that a newly started worker gets no more calls, from all front ends together, than it can serve.
+use super::discovery::Notifications;
+use super::{Rule, Rules, Violation, TOLERANCE};
+use crate::soak::record::{Command, Event, Micros, Record, WorkerState};
 use std::collections::BTreeMap;
 
-/// The rule is broken if more than this part came from front ends that had been told of the start.
-const TOLD_PART: f64 = 2.0 / 3.0;
-/// Under so many calls chance weighs more.
-const FEW: f64 = 30.0;
-/// Parts of a window by which the capacity is summed up.
-const STEPS: u64 = 32;
+/// The rule is violated only if more than this share of the calls came from front ends notified of the start.
+const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
+/// Below this number of calls chance has more weight.
+const FEW_CALLS: f64 = 30.0;
+/// Steps of the numerical integration of the capacity over a window.
+const INTEGRATION_STEPS: u64 = 32;
 
-/// A process that started late, and the calls that it got.
+/// A worker process that started during the run, and the calls that it received.
 #[derive(Default)]
 struct Process {
-    started: At,
-    listed: Option<(u64, At)>,
-    calls: Vec<(At, usize)>,
+    started_at: Micros,
+    /// The version that listed it, and when that was published.
+    listed: Option<(u64, Micros)>,
+    /// Times of the calls and the front ends that sent them.
+    calls: Vec<(Micros, usize)>,
 }
 
-pub(super) fn check(records: &[Record], rules: &Rules, told: &Told, found: &mut Vec<Violation>) {
-    for ((worker, _), process) in gather(records) {
-        let Some((version, listed)) = process.listed else { continue };
-        let knew = |call: &(At, usize)| call.0 + SLACK >= told.at(call.1, version, listed);
+pub(super) fn check(
+    records: &[Record], rules: &Rules, notifications: &Notifications, violations: &mut Vec<Violation>,
+) {
+    for ((worker, _), process) in collect_processes(records) {
+        let Some((version, published_at)) = process.listed else { continue };
+        let was_notified = |&&(at, front_end): &&(Micros, usize)| {
+            at + TOLERANCE >= notifications.notified_at(front_end, version, published_at)
+        };
         for (n, &(at, _)) in process.calls.iter().enumerate() {
-            if at > process.started + rules.warm_within {
+            if at > process.started_at + rules.warm_up_time {
                 break;
             }
-            let from = at.saturating_sub(rules.fall_span).max(process.started);
+            let from = at.saturating_sub(rules.overload_window).max(process.started_at);
             let first = process.calls.partition_point(|call| call.0 < from);
             let window = &process.calls[first..=n];
-            let most = bound(allowed(process.started, from, at, rules));
-            let by_told = window.iter().filter(|call| knew(call)).count() as f64;
-            if window.len() as f64 > most && by_told > TOLD_PART * window.len() as f64 {
+            let max_calls = bound(allowed_calls(process.started_at, from, at, rules));
+            let by_notified = window.iter().filter(was_notified).count() as f64;
+            if window.len() as f64 > max_calls && by_notified > MIN_NOTIFIED_SHARE * window.len() as f64 {
                 let text = format!(
-                    "worker {worker} got {} calls, {by_told} of them by told front ends, where {most:.1} are allowed; it started at {:.3} s",
+                    "worker {worker} received {} calls, {by_notified} of them from notified front ends; {max_calls:.1} are allowed; it started at {:.3} s",
                     window.len(),
-                    process.started as f64 / 1e6
+                    process.started_at as f64 / 1e6
                 );
-                found.push(Violation { rule: Rule::SlowStart, at, request: None, text });
+                violations.push(Violation { rule: Rule::SlowStart, at, request: None, text });
                 break;
             }
         }
     }
 }
 
-fn gather(records: &[Record]) -> BTreeMap<(usize, u32), Process> {
+fn collect_processes(records: &[Record]) -> BTreeMap<(usize, u32), Process> {
     let mut processes: BTreeMap<(usize, u32), Process> = BTreeMap::new();
     for Record { at, event } in records {
         match event {
             Event::WorkerStarted { worker, process } => {
-                processes.insert((*worker, *process), Process { started: *at, ..Process::default() });
+                processes.insert((*worker, *process), Process { started_at: *at, ..Process::default() });
             }
-            Event::Listed { version, worker, process, state: Listing::Ready, late_start: true } => {
-                if let Some(known) = processes.get_mut(&(*worker, *process)) {
-                    known.listed = known.listed.or(Some((*version, *at)));
+            Event::WorkerListChanged {
+                version,
+                worker,
+                process,
+                state: WorkerState::Ready,
+                has_start_time: true,
+            } => {
+                if let Some(started) = processes.get_mut(&(*worker, *process)) {
+                    started.listed = started.listed.or(Some((*version, *at)));
                 }
             }
-            Event::Received { worker, process, front_end, command: Command::Call { .. }, .. } => {
-                if let Some(known) = processes.get_mut(&(*worker, *process)) {
-                    known.calls.push((*at, *front_end));
+            Event::CommandReceived { worker, process, front_end, command: Command::Call { .. }, .. } => {
+                if let Some(started) = processes.get_mut(&(*worker, *process)) {
+                    started.calls.push((*at, *front_end));
                 }
             }
             _ => {}
@@ -68,22 +80,24 @@
     processes
 }
 
-/// Calls that a process may get between two times: the multiple of what it can do then.
-fn allowed(started: At, from: At, to: At, rules: &Rules) -> f64 {
-    // The rule's budget is that of a whole span, also where the process has not run for so long.
-    let from = from.min(to.saturating_sub(rules.fall_span));
-    let step = (to - from) as f64 / STEPS as f64;
-    let share = |at: f64| {
-        let age = (at - started as f64).max(0.0) / rules.warm_within as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+/// Calls that a process may receive in a window: the overload multiple of its capacity, integrated over the
+/// window.
+fn allowed_calls(started_at: Micros, from: Micros, to: Micros, rules: &Rules) -> f64 {
+    // The budget is that of a whole window, also where the process has not run for that long.
+    let from = from.min(to.saturating_sub(rules.overload_window));
+    let step = (to - from) as f64 / INTEGRATION_STEPS as f64;
+    let capacity_share = |at: f64| {
+        let age = (at - started_at as f64).max(0.0) / rules.warm_up_time as f64;
+        (rules.cold_capacity + (1.0 - rules.cold_capacity) * age).min(1.0)
     };
-    let sum: f64 = (0..STEPS).map(|n| share(from as f64 + (n as f64 + 0.5) * step)).sum();
-    sum * step / 1e6 * rules.fall_multiple * rules.capacity_per_s
+    let sum: f64 =
+        (0..INTEGRATION_STEPS).map(|n| capacity_share(from as f64 + (n as f64 + 0.5) * step)).sum();
+    sum * step / 1e6 * rules.overload_multiple * rules.capacity_per_s
 }
 
-/// The budget with what chance may add to it.
+/// The allowed number of calls with a margin of some standard deviations for chance.
 pub(super) fn bound(calls: f64) -> f64 {
-    if calls < FEW {
+    if calls < FEW_CALLS {
         calls + 3.0 * calls.sqrt() + 3.0
     } else {
         calls + 2.0 * calls.sqrt() + 2.0
--- a/scale/src/soak/config.rs
+++ b/scale/src/soak/config.rs
@@ -1,14 +1,14 @@
-//! What plays are drawn from: a TOML file.
+//! The soak's configuration, a TOML file: the ranges from which scenarios are drawn.
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Why a soak's file cannot be used.
+/// Why a soak configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// It is no such file.
+    /// The file is not valid TOML, or has missing or unknown keys.
     #[error(transparent)]
     Malformed(#[from] toml::de::Error),
     /// A range is empty, or a count is out of bounds.
@@ -16,75 +16,81 @@
     OutOfRange(&'static str),
 }
 
-/// The ranges from which a play is drawn.
+/// The ranges from which a scenario is drawn; pairs are `[min, max]`, both included.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SoakConfig {
-    /// Length of a play, in seconds.
+    /// Length of a run, in seconds.
     pub duration_s: [f64; 2],
-    /// Front ends, and workers.
+    /// Number of front ends.
     pub front_ends: [usize; 2],
-    /// Workers.
+    /// Number of workers.
     pub workers: [usize; 2],
-    /// Functions that clients call.
+    /// Number of functions that clients call.
     pub functions: [usize; 2],
-    /// Calls a second at one front end.
+    /// Calls a second at each front end.
     pub calls_per_s: [f64; 2],
-    /// Mean work of a call, in milliseconds.
+    /// Mean execution time of a call, in milliseconds.
     pub work_ms: [f64; 2],
-    /// Calls that a worker runs at a time.
+    /// Calls that a worker runs at the same time.
     pub lanes: [u32; 2],
-    /// Longest wait of the classes, in milliseconds: one is drawn for a play.
-    pub give_up_ms: Vec<u64>,
-    /// Share of calls that clients take back or leave at some instant.
-    pub leaving: f64,
-    /// Share of workers' answers that come late, twice, spoilt or cut.
-    pub odd_answers: f64,
-    /// Rates of failing system calls, in thousandths, where a play has any.
-    pub failing_calls: u32,
-    /// How far the wall clock is stepped, in seconds, where a play has that.
-    pub wall_step_s: Vec<i64>,
-    /// Length of an outage of the board, in seconds.
+    /// Longest timeouts of the classes, in milliseconds; each scenario uses one of them for all classes.
+    #[serde(rename = "give_up_ms")]
+    pub client_timeouts_ms: Vec<u64>,
+    /// Share of requests that clients cancel, or whose connection they close, before their timeout.
+    #[serde(rename = "leaving")]
+    pub cancelled_share: f64,
+    /// Share of workers' replies that are delayed, sent twice, corrupted or truncated.
+    #[serde(rename = "odd_answers")]
+    pub faulty_reply_share: f64,
+    /// Highest rate of failing system calls, per thousand, in scenarios that have any.
+    #[serde(rename = "failing_calls")]
+    pub max_system_call_failures_per_mille: u32,
+    /// Offsets of the wall clock, in seconds, for scenarios that step it.
+    #[serde(rename = "wall_step_s")]
+    pub wall_clock_offsets_s: Vec<i64>,
+    /// Length of an outage of the discovery server, in seconds.
     pub outage_s: [f64; 2],
-    /// Faults of each kind in a play, at most.
+    /// Highest number of faults of each kind.
     pub faults: FaultCounts,
 }
 
-/// How many faults of each kind a play has at most; each number is drawn from none up to this.
+/// The highest number of faults of each kind in a scenario; the number is drawn from 0 up to it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultCounts {
-    /// Outages of the board, of one or of all front ends.
+    /// Outages of the discovery server, for one or all front ends.
     pub outages: u32,
-    /// Workers that drain, end, and come back as new processes.
+    /// Workers that drain, exit and come back as new processes.
     pub drains: u32,
-    /// Workers that die and come back.
+    /// Workers that crash and come back as new processes.
     pub deaths: u32,
-    /// Workers that say nothing for a while.
+    /// Workers that stop reading and writing for a while.
     pub hangs: u32,
     /// Workers that reset their idle connections.
     pub resets: u32,
-    /// Workers that turn all away while they are listed as ready.
+    /// Workers that reject all calls while they are listed as ready.
     pub refusals: u32,
-    /// Front ends restarted with SIGTERM, and SIGKILL at the earliest time.
+    /// Front ends restarted with SIGTERM, followed by SIGKILL at the earliest time that the rules allow.
     pub restarts: u32,
-    /// Front ends killed and started again.
+    /// Front ends ended with SIGKILL and started again.
     pub kills: u32,
-    /// Moves of the board, with SIGHUP, up to three in a row.
+    /// Changes of the discovery server's address, announced with SIGHUP, up to three in a row.
     pub moves: u32,
-    /// Times at which clients come by the dozen.
+    /// Bursts of misbehaving clients.
     pub crowds: u32,
 }
 
-/// Bounds that keep the tool under a few hundred processes and half of the machine.
-const MOST_FRONT_ENDS: usize = 8;
-const MOST_WORKERS: usize = 100;
+/// Together with `MAX_WORKERS` keeps the tool under a few hundred processes and half of the machine.
+const MAX_FRONT_ENDS: usize = 8;
+const MAX_WORKERS: usize = 100;
+const MAX_FUNCTIONS: usize = 1_000;
 
 impl SoakConfig {
-    /// Reads a file.
+    /// Reads and checks a configuration file.
     ///
     /// # Errors
-    /// Fails if the file cannot be read or used.
+    /// Fails if the file cannot be read or parsed, or if a value is out of range.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: SoakConfig = toml::from_str(&std::fs::read_to_string(path)?)?;
         config.check()?;
@@ -92,19 +98,25 @@
     }
 
     fn check(&self) -> Result<(), ConfigError> {
-        let orders = |[least, most]: [f64; 2]| 0.0 < least && least <= most;
-        let counts = |[least, most]: [usize; 2], bound: usize| 0 < least && least <= most && most <= bound;
-        let fails = |what| Err(ConfigError::OutOfRange(what));
+        let is_range = |[min, max]: [f64; 2]| 0.0 < min && min <= max;
+        let is_count = |[min, max]: [usize; 2], bound: usize| 0 < min && min <= max && max <= bound;
+        let fail = |message| Err(ConfigError::OutOfRange(message));
         match () {
-            () if !orders(self.duration_s) => fails("duration_s is no range"),
-            () if !orders(self.calls_per_s) => fails("calls_per_s is no range"),
-            () if !orders(self.work_ms) => fails("work_ms is no range"),
-            () if !orders(self.outage_s) => fails("outage_s is no range"),
-            () if !counts(self.front_ends, MOST_FRONT_ENDS) => fails("front_ends: 1 to 8"),
-            () if !counts(self.workers, MOST_WORKERS) => fails("workers: 1 to 100"),
-            () if !counts(self.functions, 1_000) => fails("functions: 1 to 1,000"),
-            () if self.lanes[0] == 0 || self.lanes[0] > self.lanes[1] => fails("lanes is no range"),
-            () if self.give_up_ms.is_empty() => fails("give_up_ms is empty"),
+            () if !is_range(self.duration_s) => fail("duration_s must be a range of positive numbers"),
+            () if !is_range(self.calls_per_s) => fail("calls_per_s must be a range of positive numbers"),
+            () if !is_range(self.work_ms) => fail("work_ms must be a range of positive numbers"),
+            () if !is_range(self.outage_s) => fail("outage_s must be a range of positive numbers"),
+            () if !is_count(self.front_ends, MAX_FRONT_ENDS) => {
+                fail("front_ends must be a range within 1 to 8")
+            }
+            () if !is_count(self.workers, MAX_WORKERS) => fail("workers must be a range within 1 to 100"),
+            () if !is_count(self.functions, MAX_FUNCTIONS) => {
+                fail("functions must be a range within 1 to 1,000")
+            }
+            () if self.lanes[0] == 0 || self.lanes[0] > self.lanes[1] => {
+                fail("lanes must be a range of positive numbers")
+            }
+            () if self.client_timeouts_ms.is_empty() => fail("give_up_ms must not be empty"),
             () => Ok(()),
         }
     }
--- a/scale/src/soak/mod.rs
+++ b/scale/src/soak/mod.rs
@@ -1,20 +1,20 @@
-//! Fault injection on real front ends over loopback: seeded plays, a record of all that stand-ins see, and a checker
-//! that judges the record by the published rules.
+//! Fault injection into real front ends over loopback, with a checker of the published rules.
 //!
-//! A play draws its faults from its seed ([`plan`]), runs built front ends before stand-in workers, a board and clients
-//! (`run`), and writes down every event with its time on the monotonic clock ([`record`]). The checker ([`checker`])
-//! reads the record alone; it never sees the program, its log or its types.
-mod board;
+//! A run's faults are drawn from its seed ([`scenario`]). The run starts built front ends with stand-in
+//! workers, a stand-in discovery server and stand-in clients (`run`), and records every event that these see,
+//! with its time on a monotonic clock ([`record`]). The checker ([`checker`]) judges the record alone; it
+//! uses neither the front ends' code nor their logs.
 pub mod checker;
 mod clients;
 pub mod config;
+mod discovery_server;
 mod network;
-pub mod plan;
 mod process;
 pub mod record;
 mod run;
-mod story;
+pub mod scenario;
+mod violation_trace;
 mod worker;
 
 pub use config::SoakConfig;
-pub use run::{soak, PlayReport, SoakError, SoakOptions};
+pub use run::{soak, RunReport, SoakError, SoakOptions};
--- a/scale/src/soak/process.rs
+++ b/scale/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! A front-end process under test: start, signals, log and end.
+//! A front-end process under test: its start, signals, log and exit.
 use crate::node::Deploy;
 use nix::sys::signal::{kill, Signal as SystemSignal};
 use nix::unistd::Pid;
@@ -11,69 +11,71 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Lines of a log that are kept for stories.
-const LINES_KEPT: usize = 400;
+const MAX_LOG_LINES: usize = 400;
 
-/// The last lines of a front end's log, over all its lives.
+/// The last lines that the processes of a front end logged.
 #[derive(Clone, Debug, Default)]
 pub struct LogTail(Arc<Mutex<VecDeque<String>>>);
 
 impl LogTail {
     fn push(&self, line: String) {
         if let Ok(mut lines) = self.0.lock() {
-            if lines.len() == LINES_KEPT {
+            if lines.len() == MAX_LOG_LINES {
                 lines.pop_front();
             }
             lines.push_back(line);
         }
     }
 
-    /// The lines.
+    /// The retained lines, oldest first.
     pub fn lines(&self) -> Vec<String> {
         self.0.lock().map(|lines| lines.iter().cloned().collect()).unwrap_or_default()
     }
 }
 
-/// How a process is started.
-pub struct Launch<'a> {
-    /// The deploy file's `run`.
+/// How a front end is started.
+pub struct LaunchOptions<'a> {
+    /// The deploy file, whose `run` is the command.
     pub deploy: &'a Deploy,
     /// The front end's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// Its configuration.
+    /// Its configuration file.
     pub config: &'a Path,
-    /// Further variables of its environment.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
 }
 
-/// A running front end; killed when dropped.
+/// A front-end process; killed when dropped.
 pub struct Process {
     child: Child,
     pid: i32,
 }
 
 impl Process {
-    /// Starts one; its log goes to `log`.
+    /// Starts a process and appends its standard error to `log`.
     ///
     /// # Errors
-    /// Fails if no process can be started.
-    pub fn start(launch: Launch<'_>, log: &LogTail) -> io::Result<Process> {
+    /// Fails if the process cannot be started.
+    pub fn start(options: LaunchOptions<'_>, log: &LogTail) -> io::Result<Process> {
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &launch.deploy.run])
-            .current_dir(&launch.deploy.root)
-            .env("NODE_CONFIG", launch.config)
-            .env("NODE_NAME", &launch.name)
-            .env("NODE_LISTEN", launch.listen.to_string())
-            .envs(launch.environment)
+            .args(["-c", &options.deploy.run])
+            .current_dir(&options.deploy.root)
+            .env("NODE_CONFIG", options.config)
+            .env("NODE_NAME", &options.name)
+            .env("NODE_LISTEN", options.listen.to_string())
+            .envs(options.environment)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
         let pid = child.id().and_then(|id| i32::try_from(id).ok()).unwrap_or(0);
-        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("the standard error of the front end is not captured"))?;
         let log = log.clone();
         tokio::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
@@ -84,24 +86,24 @@
         Ok(Process { child, pid })
     }
 
-    /// Its number in the system.
+    /// Its process ID.
     pub fn id(&self) -> u32 {
         self.pid.unsigned_abs()
     }
 
-    /// Sends a signal, unless it has ended.
+    /// Sends a signal, unless the process is known to have exited.
     pub fn signal(&self, signal: SystemSignal) {
         if self.pid > 0 && self.child.id().is_some() {
-            let _ = kill(Pid::from_raw(self.pid), signal); // it may just have ended
+            let _ = kill(Pid::from_raw(self.pid), signal); // the process may just have exited
         }
     }
 
-    /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Its exit status as text, if it has exited.
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Waits for its end.
+    /// Waits until it has exited; returns its exit status as text.
     pub async fn wait(&mut self) -> String {
         self.child.wait().await.map_or_else(|e| e.to_string(), |status| status.to_string())
     }
--- a/scale/src/soak/record.rs
+++ b/scale/src/soak/record.rs
@@ -1,291 +1,328 @@
-//! What is written down of a play: one typed event each, with its time on the monotonic clock.
+//! Records of a soak run: typed events with their times on a monotonic clock.
+//!
+//! A record is stored as one JSON object a line. Names of events, fields and values in that format are fixed,
+//! so that records of other builds stay readable; where a Rust name differs, `serde(rename)` gives the stored
+//! one.
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Microseconds since the play's start.
-pub type At = u64;
+/// A time since the start of the run, or a duration, in microseconds.
+pub type Micros = u64;
 
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When it was seen.
-    pub at: At,
-    /// What was seen.
+    /// When the event was recorded.
+    pub at: Micros,
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A state of the list.
+/// A worker's state in the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listing {
-    /// Takes work.
+pub enum WorkerState {
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has.
+    /// Finishes the calls it has and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// How a front end is cut off from the board.
+/// How a front end is cut off from the discovery server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// Connections are refused, the open one is reset.
+    /// The open connection is reset and new ones are refused.
     Refused,
-    /// The open connection breaks inside an event, then as refused.
+    /// The open connection is reset in the middle of an event, and new ones are refused.
     MidEvent,
-    /// Connections stand and nothing comes.
+    /// Connections stay open, but nothing is sent on them.
     Silent,
-    /// Connections do not come about.
+    /// New connections are never accepted.
     Hanging,
 }
 
-/// A signal to a front end.
+/// A signal sent to a front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
     /// SIGTERM.
     Term,
-    /// SIGHUP; the configuration names another board.
+    /// SIGHUP, sent after the configuration was changed to another discovery server address.
     Hup,
     /// SIGKILL.
     Kill,
 }
 
-/// What a front end sent to a worker.
+/// A command that a front end sent to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// A call of a client's request.
+    /// Runs a call of a client's request.
     Call {
         /// The request.
         request: u64,
-        /// The time that the worker is told is left, in milliseconds.
+        /// The remaining time stated to the worker, in milliseconds.
         budget_ms: u64,
     },
-    /// Gives a call up.
-    GiveUp {
+    /// Cancels a call.
+    #[serde(rename = "give_up")]
+    Cancel {
         /// The request.
         request: u64,
     },
-    /// Orders to hold copies; 0 only asks.
-    Order {
-        /// Copies.
+    /// Has copies of a function loaded; for 0 copies, only queries how many are loaded.
+    #[serde(rename = "order")]
+    Load {
+        /// Wanted number of copies.
         copies: u32,
     },
-    /// Asks whether the worker takes work.
+    /// Queries whether the worker accepts calls.
     Probe,
 }
 
-/// What a worker answered to a call.
+/// A worker's reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// It ran.
+    /// The call ran.
     Ok,
-    /// It may have run.
+    /// The call may have run.
     Error,
-    /// It never ran.
-    TurnedAway,
-    /// It ran; what was sent of the answer cannot be read or is not whole.
-    Spoilt,
+    /// The call did not run.
+    #[serde(rename = "turned_away")]
+    Rejected,
+    /// The call ran, but the reply was sent corrupted or truncated.
+    #[serde(rename = "spoilt")]
+    Corrupted,
 }
 
-/// What a client got.
+/// A front end's response to a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
-    /// Status 200 with the body that a worker made for the request.
+pub enum Response {
+    /// Status 200 with the body that a worker produced for the request.
     Served,
-    /// Status 200 with another body.
+    /// Status 200 with any other body.
     WrongBody,
-    /// Trying again is harmless.
+    /// The request had no effect and may be retried.
     Refused,
-    /// Nothing is promised.
+    /// The request may or may not have had an effect.
     Failed,
 }
 
-/// An event of a play.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A front-end process was started; it was told the list up to this version.
-    Started {
-        /// Which front end.
+    /// A front-end process was started.
+    #[serde(rename = "started")]
+    FrontEndStarted {
+        /// The front end.
         front_end: usize,
-        /// The list's version in its configuration.
+        /// Version of the worker list in its configuration.
         version: u64,
     },
-    /// It answered for the first time that it is ready.
-    Ready {
-        /// Which front end.
+    /// A front end reported for the first time that it is ready.
+    #[serde(rename = "ready")]
+    FrontEndReady {
+        /// The front end.
         front_end: usize,
     },
-    /// It was sent a signal.
-    Signalled {
-        /// Which front end.
+    /// A signal was sent to a front end.
+    #[serde(rename = "signalled")]
+    SignalSent {
+        /// The front end.
         front_end: usize,
         /// The signal.
         signal: Signal,
     },
-    /// Its process ended; `killed` by us.
-    Ended {
-        /// Which front end.
+    /// A front-end process exited.
+    #[serde(rename = "ended")]
+    FrontEndExited {
+        /// The front end.
         front_end: usize,
-        /// Whether SIGKILL ended it.
+        /// Whether the soak ended it with SIGKILL.
         killed: bool,
-        /// How, in the system's words.
-        how: String,
+        /// The exit status as the operating system reports it.
+        #[serde(rename = "how")]
+        exit_status: String,
     },
-    /// What its process holds.
-    Usage {
-        /// Which front end.
+    /// Resource usage of a front-end process.
+    #[serde(rename = "usage")]
+    ResourceUsage {
+        /// The front end.
         front_end: usize,
-        /// Descriptors.
+        /// Open file descriptors.
         descriptors: u64,
         /// Resident memory, in MB.
         memory_mb: f64,
     },
-    /// The list changed.
-    Listed {
-        /// The version from here on.
+    /// The worker list changed.
+    #[serde(rename = "listed")]
+    WorkerListChanged {
+        /// Version of the list from this change on.
         version: u64,
         /// The worker.
         worker: usize,
-        /// The number of its process, counted up with each start.
+        /// Number of the worker's process, incremented with each start.
         process: u32,
-        /// Its state.
-        state: Listing,
-        /// Whether the entry carries the stamp of a late start.
-        late_start: bool,
+        /// The worker's new state.
+        state: WorkerState,
+        /// Whether the entry carries a start time, as that of a worker started during the run does.
+        #[serde(rename = "late_start")]
+        has_start_time: bool,
     },
-    /// A worker's process started, cold.
+    /// A worker's process started without loaded copies.
     WorkerStarted {
         /// The worker.
         worker: usize,
-        /// The number of its process.
+        /// Number of the worker's process.
         process: u32,
     },
-    /// A front end was cut off from the board.
+    /// A front end was cut off from the discovery server.
     OutageBegan {
-        /// Which front end.
+        /// The front end.
         front_end: usize,
-        /// How.
+        /// How it was cut off.
         outage: Outage,
     },
-    /// The board can be reached again.
+    /// A front end can reach the discovery server again.
     OutageEnded {
-        /// Which front end.
+        /// The front end.
         front_end: usize,
     },
-    /// A front end's call of the board was read.
-    BoardAsked {
-        /// Which front end.
+    /// The discovery server read a front end's request for worker list events.
+    #[serde(rename = "board_asked")]
+    DiscoveryRequested {
+        /// The front end.
         front_end: usize,
     },
-    /// An event of this version was written to a front end.
-    BoardTold {
-        /// Which front end.
+    /// The discovery server wrote all events up to a version to a front end.
+    #[serde(rename = "board_told")]
+    DiscoverySent {
+        /// The front end.
         front_end: usize,
-        /// The version.
+        /// Version of the worker list.
         version: u64,
     },
-    /// A client's request was written whole.
-    Sent {
-        /// To which front end.
+    /// A client is about to write a request.
+    #[serde(rename = "sent")]
+    RequestSent {
+        /// The front end.
         front_end: usize,
         /// The client's connection.
         connection: u64,
         /// The request.
         request: u64,
-        /// Its class's position in the rules.
+        /// Index of its class in the rules.
         class: usize,
-        /// How long the client waits, in microseconds.
-        wait: At,
+        /// How long the client waits for the response.
+        #[serde(rename = "wait")]
+        timeout: Micros,
     },
-    /// A client got an answer that ends a request.
-    Answered {
-        /// From which front end.
+    /// A client received the final response to a request.
+    #[serde(rename = "answered")]
+    ResponseReceived {
+        /// The front end that sent it.
         front_end: usize,
         /// The request.
         request: u64,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        #[serde(rename = "answer")]
+        response: Response,
     },
-    /// A client took its request back, or closed its connection.
-    Left {
+    /// A client aborted its request, or closed the connection it was on.
+    #[serde(rename = "left")]
+    RequestCancelled {
         /// The request.
         request: u64,
     },
-    /// A client's connection was ended by the other side.
-    ConnectionEnded {
-        /// By which front end.
+    /// A front end closed a client's connection.
+    #[serde(rename = "connection_ended")]
+    ClientConnectionEnded {
+        /// The front end.
         front_end: usize,
         /// The client's connection.
         connection: u64,
-        /// Its requests that were owed an answer.
-        open: Vec<u64>,
+        /// Requests on it that had no response yet.
+        #[serde(rename = "open")]
+        pending: Vec<u64>,
     },
     /// A worker read a command.
-    Received {
+    #[serde(rename = "received")]
+    CommandReceived {
         /// The worker.
         worker: usize,
-        /// The number of its process.
+        /// Number of the worker's process.
         process: u32,
-        /// From which front end.
+        /// The front end that sent it.
         front_end: usize,
-        /// The connection.
-        link: u64,
-        /// When the command's first byte came.
-        began: At,
+        /// The worker connection.
+        #[serde(rename = "link")]
+        connection: u64,
+        /// When the command's first byte was read.
+        #[serde(rename = "began")]
+        first_byte_at: Micros,
         /// The command.
         command: Command,
     },
     /// A worker ended a call.
-    Replied {
+    #[serde(rename = "replied")]
+    ReplySent {
         /// The worker.
         worker: usize,
-        /// To which front end.
+        /// The front end that sent the call.
         front_end: usize,
         /// The request.
         request: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// A front end's connection to a worker ended; so did what was open there.
-    LinkEnded {
-        /// The connection.
-        link: u64,
+    /// A front end's connection to a worker ended, and the calls open on it with it.
+    #[serde(rename = "link_ended")]
+    WorkerConnectionEnded {
+        /// The worker connection.
+        #[serde(rename = "link")]
+        connection: u64,
     },
-    /// A client that does not keep to the protocol connected.
-    BadClient {
-        /// To which front end.
+    /// A client connected that sends nothing, or no valid request.
+    #[serde(rename = "bad_client")]
+    BadClientConnected {
+        /// The front end.
         front_end: usize,
-        /// Its number.
+        /// The client.
         client: u64,
     },
-    /// It got a word or a close.
-    BadClientHeard {
-        /// Its number.
+    /// Such a client received some bytes, or its connection was closed.
+    #[serde(rename = "bad_client_heard")]
+    BadClientAnswered {
+        /// The client.
         client: u64,
     },
-    /// What the shim injected into a front end's process by its end, by kind of call.
-    Injected {
-        /// Which front end.
+    /// How many faults the shim injected into a front-end process, reported when that has exited.
+    #[serde(rename = "injected")]
+    SystemCallsInjected {
+        /// The front end.
         front_end: usize,
-        /// Counts.
-        calls: Vec<u64>,
+        /// Counts, in the order of [`heronslip_shim_control::SYSTEM_CALLS`].
+        #[serde(rename = "calls")]
+        counts: Vec<u64>,
     },
-    /// A fault of the plan, for the reader.
-    Fault {
-        /// In words.
-        text: String,
+    /// A fault of the scenario began; for human readers, the checker ignores it.
+    #[serde(rename = "fault")]
+    FaultBegan {
+        /// The fault's `Debug` text.
+        #[serde(rename = "text")]
+        description: String,
     },
 }
 
-/// Takes events down.
+/// Collects the records of a run.
 #[derive(Debug)]
 pub struct Recorder {
     start: Instant,
@@ -293,31 +330,32 @@
 }
 
 impl Recorder {
-    /// Starts the play's clock.
+    /// Creates an empty recorder; the present moment becomes time 0.
     pub fn start() -> Self {
         Recorder { start: Instant::now(), records: Mutex::default() }
     }
 
     /// The present time.
-    pub fn now(&self) -> At {
-        self.start.elapsed().as_micros() as At
+    pub fn now(&self) -> Micros {
+        self.start.elapsed().as_micros() as Micros
     }
 
-    /// The time of an instant.
-    pub fn at(&self, instant: Instant) -> At {
-        instant.saturating_duration_since(self.start).as_micros() as At
+    /// Converts an instant to a time of the run.
+    pub fn time_of(&self, instant: Instant) -> Micros {
+        instant.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    /// Takes an event down; its time is taken under the lock, so that records stand in the order of their times.
-    pub fn add(&self, event: Event) -> At {
+    /// Records an event and returns its time, which is taken under the lock so that records are sorted by
+    /// time.
+    pub fn record(&self, event: Event) -> Micros {
         let Ok(mut records) = self.records.lock() else { return self.now() };
         let at = self.now();
         records.push(Record { at, event });
         at
     }
 
-    /// All that was taken down.
-    pub fn take(&self) -> Vec<Record> {
+    /// Removes and returns all records.
+    pub fn take_records(&self) -> Vec<Record> {
         self.records.lock().map(|mut records| std::mem::take(&mut *records)).unwrap_or_default()
     }
 }
--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -1,18 +1,19 @@
-//! Plays: front ends, stand-ins and faults in their time, then the record and what the checker makes of it.
-use super::board::{Board, Change};
-use super::checker::{check, Effect, Rules, Violation};
-use super::clients::{self, bad_client, Class, Clients, Door};
+//! Runs of a soak: starts front ends and stand-ins, injects the scenario's faults, and has the checker judge
+//! the record.
+use super::checker::{check, RetrySafety, Rules, Violation};
+use super::clients::{self, bad_client, Class, Clients, ConnectGate};
 use super::config::{ConfigError, SoakConfig};
+use super::discovery_server::{Change, DiscoveryServer};
 use super::network;
-use super::plan::{Fault, Plan};
-use super::process::{Launch, LogTail, Process};
-use super::record::{Answer, Event, Listing, Outage, Record, Recorder, Signal};
-use super::story::story;
-use super::worker::{self, Standing, Worker};
+use super::process::{LaunchOptions, LogTail, Process};
+use super::record::{Command, Event, Outage, Record, Recorder, Response, Signal, WorkerState};
+use super::scenario::{Fault, Scenario};
+use super::violation_trace::violation_trace;
+use super::worker::{self, Worker, WorkerStatus};
 use crate::node::clients::is_ready;
 use crate::node::usage::Usage;
 use crate::node::{Deploy, DeployError};
-use heronslip_shim_control::{Call, ControlFile, CALLS, CONTROL_VARIABLE};
+use heronslip_shim_control::{ControlFile, SystemCall, CONTROL_VARIABLE, SYSTEM_CALLS};
 use nix::sys::signal::Signal as SystemSignal;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -25,43 +26,41 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// SIGKILL comes so long after SIGTERM, beside the longest deadline.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// The longest deadline counts as this at most.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// After SIGTERM new connections go on coming for this long.
-const CONNECTING_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How often the limits are looked at.
-const USAGE_EACH: Duration = Duration::from_millis(500);
-/// How often readiness is asked for.
-const READY_EACH: Duration = Duration::from_millis(20);
-/// At the end, what is open may take so much longer than its time.
-const END_SLACK: Duration = Duration::from_millis(900);
-const DESCRIPTORS: u64 = 512;
-const MEMORY_MB: f64 = 96.0;
-const KEY_WINDOW_MS: u64 = 1_500;
-const WARM_WITHIN_MS: u64 = 6_000;
-const FALL_MS: u64 = 3_000;
-const FALL_MULTIPLE: f64 = 4.0;
-const COLD_FROM: f64 = 0.2;
+/// Time from SIGTERM to SIGKILL, in addition to the longest client timeout.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Upper bound of the client timeout in the time from SIGTERM to SIGKILL.
+const MAX_TIMEOUT_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// How long clients go on opening connections after SIGTERM.
+const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+const USAGE_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time at the end for pending requests to complete, in addition to the longest client timeout.
+const COMPLETION_MARGIN: Duration = Duration::from_millis(900);
+const MAX_DESCRIPTORS: u64 = 512;
+const MAX_MEMORY_MB: f64 = 96.0;
+const DEDUP_WINDOW_MS: u64 = 1_500;
+const WARM_UP_TIME_MS: u64 = 6_000;
+const OVERLOAD_WINDOW_MS: u64 = 3_000;
+const OVERLOAD_MULTIPLE: f64 = 4.0;
+const COLD_CAPACITY: f64 = 0.2;
 const DRAIN_GRACE_MS: u64 = 1_000;
 const MAX_ATTEMPTS: usize = 3;
 const CLASSES: [&str; 3] = ["lookup", "confirm", "once"];
-const NANOS: i64 = 1_000_000_000;
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
 /// Why a soak cannot be run.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// The soak's file cannot be used.
+    /// The soak's configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The deploy file cannot be used.
     #[error(transparent)]
     Deploy(#[from] DeployError),
-    /// The shim is not where it is looked for.
-    #[error("{}: no shim; build it with `cargo build --release -p heronslip-shim`", .0.display())]
+    /// The shim library does not exist.
+    #[error("{}: shim library not found; build it with `cargo build --release -p heronslip-shim`", .0.display())]
     NoShim(PathBuf),
-    /// The system refused something.
+    /// A file, process or socket could not be created.
     #[error(transparent)]
     System(#[from] io::Error),
     /// The soak was interrupted.
@@ -72,90 +71,93 @@
 /// What to run.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// What plays are drawn from.
+    /// The ranges from which scenarios are drawn.
     pub config: SoakConfig,
     /// How front ends are started.
     pub deploy: Deploy,
-    /// The shim's library.
+    /// Path of the shim library.
     pub shim: PathBuf,
-    /// Seeds.
+    /// Seeds of the scenarios.
     pub seeds: std::ops::RangeInclusive<u64>,
-    /// Where records are kept, as JSON lines.
+    /// Folder in which records are stored, as one JSON object a line.
     pub out: Option<PathBuf>,
 }
 
-/// What came of a play.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct PlayReport {
-    /// The play.
-    pub plan: Plan,
-    /// Requests sent.
+pub struct RunReport {
+    /// The scenario.
+    #[serde(rename = "plan")]
+    pub scenario: Scenario,
+    /// Number of requests sent.
     pub requests: usize,
-    /// Answers, by kind.
-    pub answers: BTreeMap<String, usize>,
-    /// Probes that workers got.
+    /// Number of responses of each kind.
+    #[serde(rename = "answers")]
+    pub responses: BTreeMap<String, usize>,
+    /// Number of probes that workers received.
     pub probes: usize,
-    /// Faults that the shim was to inject and never did.
+    /// Kinds of system calls that the shim was to make fail and never did.
     pub never_injected: Vec<String>,
-    /// Broken rules.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Their stories.
+    /// Traces of the first violations, and the last log lines of each front end.
     #[serde(skip)]
-    pub stories: Vec<String>,
+    pub violation_traces: Vec<String>,
 }
 
-impl PlayReport {
-    /// Share of the requests that were served, in percent.
-    pub fn served(&self) -> f64 {
-        let served = self.answers.get("served").copied().unwrap_or(0);
+impl RunReport {
+    /// Percentage of the requests that were served.
+    pub fn served_percent(&self) -> f64 {
+        let served = self.responses.get("served").copied().unwrap_or(0);
         100.0 * served as f64 / self.requests.max(1) as f64
     }
 }
 
-/// Plays all seeds, one after the other; `each` is shown every play's report. No process stays behind.
+/// Runs the scenarios of all seeds one after the other, passes each report to `on_report` and returns the
+/// number of violations. All processes that it started have exited when it returns.
 ///
 /// # Errors
 /// Fails if something cannot be started, or on SIGINT or SIGTERM.
-pub async fn soak(options: &SoakOptions, mut each: impl FnMut(&PlayReport)) -> Result<usize, SoakError> {
+pub async fn soak(options: &SoakOptions, mut on_report: impl FnMut(&RunReport)) -> Result<usize, SoakError> {
     if !options.shim.is_file() {
         return Err(SoakError::NoShim(options.shim.clone()));
     }
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in options.seeds.clone() {
-        let plan = Plan::draw(&options.config, seed);
-        let folder = Folder::new(plan.seed)?;
-        let play = Arc::new(Play::set_up(options, plan, &folder).await?);
+        let scenario = Scenario::draw(&options.config, seed);
+        let folder = TempFolder::new(scenario.seed)?;
+        let run = Arc::new(Run::set_up(options, scenario, &folder).await?);
         let report = tokio::select! {
-            report = play.clone().run(options) => report,
+            report = run.clone().execute(options) => report,
             () = crate::node::interrupted() => Err(SoakError::Interrupted),
         };
-        // Whatever ended the play: its front ends have ended when this goes on.
-        play.kill_all().await;
+        // The front ends must have exited before this function returns, also after an error or interrupt.
+        run.kill_all().await;
         let report = report?;
-        broken += report.violations.len();
-        each(&report);
+        violations += report.violations.len();
+        on_report(&report);
     }
-    Ok(broken)
+    Ok(violations)
 }
 
-/// A folder for configurations, removed with the play.
-struct Folder(PathBuf);
+/// The folder for the configurations and control files of a run, removed when dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(seed: u64) -> io::Result<Folder> {
+impl TempFolder {
+    fn new(seed: u64) -> io::Result<TempFolder> {
         let path = std::env::temp_dir().join(format!("heronslip-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempFolder(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // what is left lies in the system's folder for such files
+        let _ = std::fs::remove_dir_all(&self.0); // files that remain are in the system's temporary folder
     }
 }
 
-/// One front end over all its lives.
+/// A front end and its present process, which faults may end and start again.
 struct FrontEnd {
     number: usize,
     listen: SocketAddr,
@@ -163,46 +165,46 @@
     control_path: PathBuf,
     control: ControlFile,
     log: LogTail,
-    door: Arc<Door>,
+    connect_gate: Arc<ConnectGate>,
     process: tokio::sync::Mutex<Option<Process>>,
-    /// Seconds that its wall clock stands beside the true one.
-    wall_step_s: Mutex<i64>,
+    wall_clock_offset_s: Mutex<i64>,
 }
 
-struct Play {
-    plan: Plan,
+struct Run {
+    scenario: Scenario,
     deploy: Deploy,
     shim: PathBuf,
     recorder: Arc<Recorder>,
-    board: Board,
+    discovery: DiscoveryServer,
     workers: Vec<Arc<Worker>>,
     front_ends: Vec<FrontEnd>,
-    clients: Arc<clients::Common>,
+    client_settings: Arc<clients::Settings>,
 }
 
-impl Play {
-    async fn run(self: Arc<Self>, options: &SoakOptions) -> Result<PlayReport, SoakError> {
+impl Run {
+    async fn execute(self: Arc<Self>, options: &SoakOptions) -> Result<RunReport, SoakError> {
         for front_end in &self.front_ends {
             self.start(front_end).await?;
         }
         let mut tasks = JoinSet::new();
         for front_end in &self.front_ends {
-            self.until_ready(front_end).await;
-            tasks.spawn(self.usual_clients(front_end).run());
+            self.wait_until_ready(front_end).await;
+            tasks.spawn(self.regular_clients(front_end).run());
         }
         tasks.spawn(self.clone().watch_usage());
-        let began = Instant::now();
+        let start = Instant::now();
         let mut faults = JoinSet::new();
-        for (at, fault) in self.plan.faults.clone() {
+        for (at, fault) in self.scenario.faults.clone() {
             let at = Duration::from_micros(at);
-            tokio::time::sleep(at.saturating_sub(began.elapsed())).await;
+            tokio::time::sleep(at.saturating_sub(start.elapsed())).await;
             faults.spawn(self.clone().inject(fault));
         }
-        tokio::time::sleep(Duration::from_micros(self.plan.length).saturating_sub(began.elapsed())).await;
+        tokio::time::sleep(Duration::from_micros(self.scenario.duration).saturating_sub(start.elapsed()))
+            .await;
         while faults.join_next().await.is_some() {}
         tasks.abort_all();
         while tasks.join_next().await.is_some() {}
-        tokio::time::sleep(Duration::from_millis(self.plan.give_up_ms) + END_SLACK).await;
+        tokio::time::sleep(Duration::from_millis(self.scenario.client_timeout_ms) + COMPLETION_MARGIN).await;
         self.kill_all().await;
         self.report(options)
     }
@@ -213,91 +215,102 @@
         }
     }
 
-    async fn set_up(options: &SoakOptions, plan: Plan, folder: &Folder) -> Result<Play, SoakError> {
+    async fn set_up(
+        options: &SoakOptions, scenario: Scenario, folder: &TempFolder,
+    ) -> Result<Run, SoakError> {
         let recorder = Arc::new(Recorder::start());
-        let common = Arc::new(worker::Common {
+        let worker_settings = Arc::new(worker::Settings {
             recorder: recorder.clone(),
-            work: Duration::from_micros(plan.work),
-            lanes: plan.lanes,
-            odd_answers: options.config.odd_answers,
-            links: AtomicU64::new(1),
+            work: Duration::from_micros(scenario.work),
+            lanes: scenario.lanes,
+            faulty_reply_share: options.config.faulty_reply_share,
+            next_connection: AtomicU64::new(1),
         });
         let mut workers = Vec::new();
-        let mut addresses = vec![Vec::new(); plan.front_ends];
-        for number in 0..plan.workers {
-            let seed = plan.seed ^ (number as u64 + 1) << 32;
-            let (worker, at) = Worker::start(number, plan.front_ends, common.clone(), seed).await?;
+        let mut worker_addresses = vec![Vec::new(); scenario.front_ends];
+        for number in 0..scenario.workers {
+            let seed = scenario.seed ^ (number as u64 + 1) << 32;
+            let (worker, addresses) =
+                Worker::start(number, scenario.front_ends, worker_settings.clone(), seed).await?;
             workers.push(worker);
-            addresses.iter_mut().zip(at).for_each(|(list, address)| list.push(address));
+            worker_addresses.iter_mut().zip(addresses).for_each(|(list, address)| list.push(address));
         }
-        let board = Board::start(recorder.clone(), addresses, plan.seed).await?;
+        let discovery = DiscoveryServer::start(recorder.clone(), worker_addresses, scenario.seed).await?;
         let mut front_ends = Vec::new();
-        for number in 0..plan.front_ends {
-            front_ends.push(FrontEnd::new(number, &plan, folder)?);
+        for number in 0..scenario.front_ends {
+            front_ends.push(FrontEnd::new(number, &scenario, folder)?);
         }
-        let clients = Arc::new(clients::Common {
+        let client_settings = Arc::new(clients::Settings {
             recorder: recorder.clone(),
-            classes: CLASSES.map(|name| Class { name, keyed: name == "confirm" }).to_vec(),
-            give_up_ms: plan.give_up_ms,
-            functions: plan.functions,
-            leaving: options.config.leaving,
-            numbers: AtomicU64::new(1),
+            classes: CLASSES.map(|name| Class { name, deduplicated: name == "confirm" }).to_vec(),
+            timeout_ms: scenario.client_timeout_ms,
+            functions: scenario.functions,
+            cancelled_share: options.config.cancelled_share,
+            next_number: AtomicU64::new(1),
         });
         let (deploy, shim) = (options.deploy.clone(), options.shim.clone());
-        Ok(Play { plan, deploy, shim, recorder, board, workers, front_ends, clients })
+        Ok(Run { scenario, deploy, shim, recorder, discovery, workers, front_ends, client_settings })
     }
 
-    fn usual_clients(&self, front_end: &FrontEnd) -> Clients {
+    fn regular_clients(&self, front_end: &FrontEnd) -> Clients {
         Clients {
             front_end: front_end.number,
             address: front_end.listen,
-            calls_per_s: self.plan.calls_per_s,
-            door: front_end.door.clone(),
-            common: self.clients.clone(),
-            seed: self.plan.seed ^ (front_end.number as u64 + 1) << 16,
+            calls_per_s: self.scenario.calls_per_s,
+            connect_gate: front_end.connect_gate.clone(),
+            settings: self.client_settings.clone(),
+            seed: self.scenario.seed ^ (front_end.number as u64 + 1) << 16,
         }
     }
 
     fn settings(&self, front_end: usize) -> String {
-        let (give_up, goal) = (self.plan.give_up_ms, self.plan.give_up_ms / 2);
-        let class = |name: &str, effect: &str| {
+        let client_timeout = self.scenario.client_timeout_ms;
+        let latency_target = client_timeout / 2;
+        let class = |name: &str, retry_safety: &str| {
             format!(
-                r#"{{"name":"{name}","effect":"{effect}","key-scope":"all","goal-time":{goal},"give-up":{give_up},"memory-span":{KEY_WINDOW_MS},"worth":1}}"#
+                r#"{{"name":"{name}","effect":"{retry_safety}","key-scope":"all","goal-time":{latency_target},"give-up":{client_timeout},"memory-span":{DEDUP_WINDOW_MS},"worth":1}}"#
             )
         };
         let classes =
             [class(CLASSES[0], "retryable"), class(CLASSES[1], "dedup"), class(CLASSES[2], "fragile")];
         format!(
-            r#"{{"balancers":{},"index":{front_end},"classes":[{}],"tenants":[],"failure-domains":["zone-0"],"flavors":["std"],"over-share-worth":0.1,"registry-mode":"push","deductions":{{"probe":0.01}},"family-info":{{"orders":true,"tells-warm":true,"tells-crowd":false,"when-absent":"load","keep":10000,"load-wait":10000,"load-span":0,"free-loads":0,"loads-per-request":0,"machine-mb":[16000]}},"limits":{{"conn-idle":15000,"connect-timeout":250,"max-attempts":{MAX_ATTEMPTS},"max-retry-after":1000,"may-cancel":true,"probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100}},"rules":{{"cold-from":{COLD_FROM},"drain-grace":{DRAIN_GRACE_MS},"fall":{FALL_MS},"fall-multiple":{FALL_MULTIPLE},"warm-within":{WARM_WITHIN_MS}}}}}"#,
-            self.plan.front_ends,
+            r#"{{"balancers":{},"index":{front_end},"classes":[{}],"tenants":[],"failure-domains":["zone-0"],"flavors":["std"],"over-share-worth":0.1,"registry-mode":"push","deductions":{{"probe":0.01}},"family-info":{{"orders":true,"tells-warm":true,"tells-crowd":false,"when-absent":"load","keep":10000,"load-wait":10000,"load-span":0,"free-loads":0,"loads-per-request":0,"machine-mb":[16000]}},"limits":{{"conn-idle":15000,"connect-timeout":250,"max-attempts":{MAX_ATTEMPTS},"max-retry-after":1000,"may-cancel":true,"probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100}},"rules":{{"cold-from":{COLD_CAPACITY},"drain-grace":{DRAIN_GRACE_MS},"fall":{OVERLOAD_WINDOW_MS},"fall-multiple":{OVERLOAD_MULTIPLE},"warm-within":{WARM_UP_TIME_MS}}}}}"#,
+            self.scenario.front_ends,
             classes.join(",")
         )
     }
 
     fn rules(&self) -> Rules {
-        const MS: u64 = 1_000;
+        const MICROS_PER_MS: u64 = 1_000;
         Rules {
-            classes: vec![Effect::Safe, Effect::Keyed { window: KEY_WINDOW_MS * MS }, Effect::Unsafe],
-            drain_grace: DRAIN_GRACE_MS * MS,
+            retry_safety: vec![
+                RetrySafety::Safe,
+                RetrySafety::Deduplicated { window: DEDUP_WINDOW_MS * MICROS_PER_MS },
+                RetrySafety::Unsafe,
+            ],
+            drain_grace: DRAIN_GRACE_MS * MICROS_PER_MS,
             max_attempts: MAX_ATTEMPTS,
-            fall_multiple: FALL_MULTIPLE,
-            fall_span: FALL_MS * MS,
-            cold_from: COLD_FROM,
-            warm_within: WARM_WITHIN_MS * MS,
-            capacity_per_s: f64::from(self.plan.lanes) / (self.plan.work as f64 / 1e6),
-            descriptors: DESCRIPTORS,
-            memory_mb: MEMORY_MB,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_window: OVERLOAD_WINDOW_MS * MICROS_PER_MS,
+            cold_capacity: COLD_CAPACITY,
+            warm_up_time: WARM_UP_TIME_MS * MICROS_PER_MS,
+            capacity_per_s: f64::from(self.scenario.lanes) / (self.scenario.work as f64 / 1e6),
+            max_descriptors: MAX_DESCRIPTORS,
+            max_memory_mb: MAX_MEMORY_MB,
         }
     }
 
-    /// Writes a front end's configuration; the version of the list that it tells.
+    /// Writes a front end's configuration; returns the version of the worker list in it.
     fn configure(&self, front_end: &FrontEnd) -> io::Result<u64> {
         let number = front_end.number;
-        let board = self.board.address(number).ok_or_else(|| io::Error::other("no board"))?;
-        let (version, known) = self.board.known(number);
-        let seed = self.plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.recorder.now();
+        let discovery_address = self
+            .discovery
+            .address(number)
+            .ok_or_else(|| io::Error::other(format!("no discovery server address for front end {number}")))?;
+        let (version, known) = self.discovery.known(number);
+        let seed = self.scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.recorder.now();
         let text = format!(
-            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MEMORY_MB},"sockets":{DESCRIPTORS}}},"board":"{board}","known":{known},"settings":{}}}"#,
+            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},"board":"{discovery_address}","known":{known},"settings":{}}}"#,
             front_end.listen,
             self.settings(number)
         );
@@ -307,10 +320,10 @@
 
     async fn start(&self, front_end: &FrontEnd) -> io::Result<()> {
         let version = self.configure(front_end)?;
-        front_end.control.set_rates(&self.plan.rates)?;
+        front_end.control.set_rates(&self.scenario.system_call_failures)?;
         let number = front_end.number;
-        self.recorder.add(Event::Started { front_end: number, version });
-        let launch = Launch {
+        self.recorder.record(Event::FrontEndStarted { front_end: number, version });
+        let options = LaunchOptions {
             deploy: &self.deploy,
             name: format!("n{number}"),
             listen: front_end.listen,
@@ -320,143 +333,152 @@
                 (CONTROL_VARIABLE.to_owned(), front_end.control_path.display().to_string()),
             ],
         };
-        *front_end.process.lock().await = Some(Process::start(launch, &front_end.log)?);
+        *front_end.process.lock().await = Some(Process::start(options, &front_end.log)?);
         Ok(())
     }
 
-    async fn until_ready(&self, front_end: &FrontEnd) {
-        const PATIENCE: Duration = Duration::from_secs(30);
-        let since = Instant::now();
-        while !is_ready(front_end.listen).await && since.elapsed() < PATIENCE {
-            tokio::time::sleep(READY_EACH).await;
+    async fn wait_until_ready(&self, front_end: &FrontEnd) {
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
+        let start = Instant::now();
+        while !is_ready(front_end.listen).await && start.elapsed() < READY_TIMEOUT {
+            tokio::time::sleep(READINESS_POLL_INTERVAL).await;
         }
-        if since.elapsed() < PATIENCE {
-            self.recorder.add(Event::Ready { front_end: front_end.number });
-            front_end.door.set(true);
+        if start.elapsed() < READY_TIMEOUT {
+            self.recorder.record(Event::FrontEndReady { front_end: front_end.number });
+            front_end.connect_gate.set(true);
         }
     }
 
-    /// Looks at the processes: whether they run, and what they hold.
+    /// Polls the processes: records the resource usage of those that run, and the exit of those that do not.
     async fn watch_usage(self: Arc<Self>) {
         loop {
             for front_end in &self.front_ends {
                 let mut process = front_end.process.lock().await;
                 let Some(running) = process.as_mut() else { continue };
                 let number = front_end.number;
-                if let Some(how) = running.ended() {
+                if let Some(exit_status) = running.exit_status() {
                     *process = None;
-                    self.recorder.add(Event::Ended { front_end: number, killed: false, how });
+                    self.recorder.record(Event::FrontEndExited {
+                        front_end: number,
+                        killed: false,
+                        exit_status,
+                    });
                     continue;
                 }
                 let usage = Usage::of(running.id());
-                self.recorder.add(Event::Usage {
+                self.recorder.record(Event::ResourceUsage {
                     front_end: number,
                     descriptors: usage.descriptors as u64,
                     memory_mb: usage.memory_mb,
                 });
             }
-            tokio::time::sleep(USAGE_EACH).await;
+            tokio::time::sleep(USAGE_POLL_INTERVAL).await;
         }
     }
 
     async fn kill(&self, front_end: &FrontEnd) {
-        front_end.door.set(false);
+        front_end.connect_gate.set(false);
         let number = front_end.number;
         let Some(mut process) = front_end.process.lock().await.take() else { return };
-        self.recorder.add(Event::Signalled { front_end: number, signal: Signal::Kill });
+        self.recorder.record(Event::SignalSent { front_end: number, signal: Signal::Kill });
         process.signal(SystemSignal::SIGKILL);
-        let how = process.wait().await;
-        self.recorder.add(Event::Ended { front_end: number, killed: true, how });
-        let calls = front_end.control.injected().map(|counts| counts.to_vec()).unwrap_or_default();
-        self.recorder.add(Event::Injected { front_end: number, calls });
+        let exit_status = process.wait().await;
+        self.recorder.record(Event::FrontEndExited { front_end: number, killed: true, exit_status });
+        let counts = front_end.control.injected().map(|counts| counts.to_vec()).unwrap_or_default();
+        self.recorder.record(Event::SystemCallsInjected { front_end: number, counts });
     }
 
     async fn inject(self: Arc<Self>, fault: Fault) {
-        self.recorder.add(Event::Fault { text: format!("{fault:?}") });
+        self.recorder.record(Event::FaultBegan { description: format!("{fault:?}") });
         match fault {
             Fault::Outage { front_ends, outage, span } => self.outage(&front_ends, outage, span).await,
             Fault::Drain { worker, stays, away } => self.drain(worker, stays, away).await,
-            Fault::Death { worker, away, listed } => self.death(worker, away, listed).await,
+            Fault::Death { worker, away, listed } => self.crash(worker, away, listed).await,
             Fault::Hang { worker, span } => {
-                self.for_a_while(worker, span, |standing, on| standing.hung = on).await;
+                self.set_temporarily(worker, span, |status, on| status.hung = on).await;
             }
             Fault::Resets { worker } => {
-                self.workers[worker].standing.send_modify(|standing| standing.resets += 1);
+                self.workers[worker].status.send_modify(|status| status.resets += 1);
             }
             Fault::Refusals { worker, span } => {
-                self.for_a_while(worker, span, |standing, on| standing.refusing = on).await;
+                self.set_temporarily(worker, span, |status, on| status.rejecting = on).await;
             }
             Fault::Restart { front_end, series } => self.restart(&self.front_ends[front_end], series).await,
             Fault::Kill { front_end } => {
                 let front_end = &self.front_ends[front_end];
                 self.kill(front_end).await;
-                self.again(front_end).await;
+                self.start_again(front_end).await;
+            }
+            Fault::Moves { front_end, times } => {
+                self.move_discovery(&self.front_ends[front_end], times).await;
+            }
+            Fault::WallStep { front_end, seconds } => {
+                self.front_ends[front_end].set_wall_clock_offset(seconds);
             }
-            Fault::Moves { front_end, times } => self.moves(&self.front_ends[front_end], times).await,
-            Fault::WallStep { front_end, seconds } => self.front_ends[front_end].step_wall_clock(seconds),
             Fault::Crowd { front_end, clients } => {
                 let address = self.front_ends[front_end].listen;
                 for kind in 0..clients as u32 {
-                    tokio::spawn(bad_client(front_end, address, self.clients.clone(), kind));
+                    tokio::spawn(bad_client(front_end, address, self.client_settings.clone(), kind));
                 }
             }
         }
     }
 
     async fn outage(&self, front_ends: &[usize], outage: Outage, span: u64) {
-        front_ends.iter().for_each(|&n| self.board.cut(n, Some(outage)));
+        front_ends.iter().for_each(|&n| self.discovery.set_outage(n, Some(outage)));
         tokio::time::sleep(Duration::from_micros(span)).await;
-        front_ends.iter().for_each(|&n| self.board.cut(n, None));
+        front_ends.iter().for_each(|&n| self.discovery.set_outage(n, None));
     }
 
-    async fn for_a_while(&self, worker: usize, span: u64, set: impl Fn(&mut Standing, bool)) {
-        let standing: &watch::Sender<Standing> = &self.workers[worker].standing;
-        standing.send_modify(|standing| set(standing, true));
+    async fn set_temporarily(&self, worker: usize, span: u64, set: impl Fn(&mut WorkerStatus, bool)) {
+        let status: &watch::Sender<WorkerStatus> = &self.workers[worker].status;
+        status.send_modify(|status| set(status, true));
         tokio::time::sleep(Duration::from_micros(span)).await;
-        standing.send_modify(|standing| set(standing, false));
+        status.send_modify(|status| set(status, false));
     }
 
-    fn list(&self, worker: usize, process: u32, state: Listing, late: bool) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        let started_ms = if late { unix } else { 0 };
-        self.board.change(Change { worker, process, state, started_ms });
+    fn publish(&self, worker: usize, process: u32, state: WorkerState, with_start_time: bool) {
+        let unix_ms =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+        let started_at_ms = if with_start_time { unix_ms } else { 0 };
+        self.discovery.publish(Change { worker, process, state, started_at_ms });
     }
 
     async fn drain(&self, worker: usize, stays: u64, away: u64) {
-        let standing = &self.workers[worker].standing;
-        let process = standing.borrow().process;
-        standing.send_modify(|standing| standing.draining = true);
-        self.list(worker, process, Listing::Draining, false);
+        let status = &self.workers[worker].status;
+        let process = status.borrow().process;
+        status.send_modify(|status| status.draining = true);
+        self.publish(worker, process, WorkerState::Draining, false);
         tokio::time::sleep(Duration::from_micros(stays)).await;
-        standing.send_modify(|standing| standing.up = false);
-        self.list(worker, process, Listing::Gone, false);
-        self.new_process(worker, away).await;
+        status.send_modify(|status| status.up = false);
+        self.publish(worker, process, WorkerState::Gone, false);
+        self.start_new_process(worker, away).await;
     }
 
-    async fn death(&self, worker: usize, away: u64, listed: bool) {
-        let standing = &self.workers[worker].standing;
-        let process = standing.borrow().process;
-        standing.send_modify(|standing| standing.up = false);
+    async fn crash(&self, worker: usize, away: u64, listed: bool) {
+        let status = &self.workers[worker].status;
+        let process = status.borrow().process;
+        status.send_modify(|status| status.up = false);
         if listed {
-            self.list(worker, process, Listing::Gone, false);
+            self.publish(worker, process, WorkerState::Gone, false);
         }
-        self.new_process(worker, away).await;
+        self.start_new_process(worker, away).await;
     }
 
-    async fn new_process(&self, worker: usize, away: u64) {
+    async fn start_new_process(&self, worker: usize, away: u64) {
         tokio::time::sleep(Duration::from_micros(away)).await;
-        let standing = &self.workers[worker].standing;
-        standing.send_modify(|standing| {
-            (standing.process, standing.up, standing.draining) = (standing.process + 1, true, false);
+        let status = &self.workers[worker].status;
+        status.send_modify(|status| {
+            (status.process, status.up, status.draining) = (status.process + 1, true, false);
         });
-        let process = standing.borrow().process;
-        self.recorder.add(Event::WorkerStarted { worker, process });
-        self.list(worker, process, Listing::Ready, true);
+        let process = status.borrow().process;
+        self.recorder.record(Event::WorkerStarted { worker, process });
+        self.publish(worker, process, WorkerState::Ready, true);
     }
 
     fn signal(&self, front_end: &FrontEnd, process: Option<&Process>, signal: Signal) {
         let Some(process) = process else { return };
-        self.recorder.add(Event::Signalled { front_end: front_end.number, signal });
+        self.recorder.record(Event::SignalSent { front_end: front_end.number, signal });
         process.signal(match signal {
             Signal::Term => SystemSignal::SIGTERM,
             Signal::Hup => SystemSignal::SIGHUP,
@@ -464,96 +486,105 @@
         });
     }
 
-    /// SIGTERM, and SIGKILL at the earliest; clients go on until then.
+    /// Sends SIGTERM, then SIGKILL at the earliest time that the rules allow, and starts the front end again.
+    /// Clients send requests until SIGKILL.
     async fn restart(&self, front_end: &FrontEnd, series: bool) {
         if series {
-            self.moves(front_end, 1).await;
+            self.move_discovery(front_end, 1).await;
         }
-        let since = Instant::now();
+        let terminated_at = Instant::now();
         self.signal(front_end, front_end.process.lock().await.as_ref(), Signal::Term);
-        tokio::time::sleep(CONNECTING_AFTER_TERM).await;
-        front_end.door.set(false);
+        tokio::time::sleep(NEW_CONNECTIONS_AFTER_TERM).await;
+        front_end.connect_gate.set(false);
         if series {
             self.signal(front_end, front_end.process.lock().await.as_ref(), Signal::Term);
         }
-        let longest = Duration::from_millis(self.plan.give_up_ms).min(LONGEST_DEADLINE);
-        tokio::time::sleep((longest + KILL_AFTER).saturating_sub(since.elapsed())).await;
+        let timeout = Duration::from_millis(self.scenario.client_timeout_ms).min(MAX_TIMEOUT_BEFORE_KILL);
+        tokio::time::sleep((timeout + KILL_DELAY).saturating_sub(terminated_at.elapsed())).await;
         self.kill(front_end).await;
-        self.again(front_end).await;
+        self.start_again(front_end).await;
     }
 
-    /// Starts a front end anew, unless another fault has done so.
-    async fn again(&self, front_end: &FrontEnd) {
+    /// Starts a front end again, unless another fault has already done so.
+    async fn start_again(&self, front_end: &FrontEnd) {
         if front_end.process.lock().await.is_none() && self.start(front_end).await.is_ok() {
-            self.until_ready(front_end).await;
+            self.wait_until_ready(front_end).await;
         }
     }
 
-    /// The board moves, so often in a row.
-    async fn moves(&self, front_end: &FrontEnd, times: u32) {
-        const BETWEEN: Duration = Duration::from_millis(120);
+    /// Moves the discovery server to a new address several times in a row, each announced with SIGHUP. Does
+    /// nothing while the front end is not ready.
+    async fn move_discovery(&self, front_end: &FrontEnd, times: u32) {
+        const MOVE_INTERVAL: Duration = Duration::from_millis(120);
         for _ in 0..times {
             let process = front_end.process.lock().await;
-            if process.is_none() || !front_end.door_is_open() {
-                return; // not before it is ready
+            if process.is_none() || !front_end.connect_gate.is_open() {
+                return;
             }
-            if self.board.move_away(front_end.number).await.is_err() || self.configure(front_end).is_err() {
+            if self.discovery.change_address(front_end.number).await.is_err()
+                || self.configure(front_end).is_err()
+            {
                 return;
             }
             self.signal(front_end, process.as_ref(), Signal::Hup);
             drop(process);
-            tokio::time::sleep(BETWEEN).await;
+            tokio::time::sleep(MOVE_INTERVAL).await;
         }
     }
 
-    fn report(&self, options: &SoakOptions) -> Result<PlayReport, SoakError> {
-        let records = self.recorder.take();
+    fn report(&self, options: &SoakOptions) -> Result<RunReport, SoakError> {
+        let records = self.recorder.take_records();
         if let Some(folder) = &options.out {
-            keep(folder, self.plan.seed, &records)?;
+            store(folder, self.scenario.seed, &records)?;
         }
         let violations = check(&records, &self.rules());
-        const MOST_STORIES: usize = 8;
-        let mut stories: Vec<String> =
-            violations.iter().take(MOST_STORIES).map(|violation| story(&records, violation)).collect();
+        const MAX_TRACES: usize = 8;
+        let mut violation_traces: Vec<String> = violations
+            .iter()
+            .take(MAX_TRACES)
+            .map(|violation| violation_trace(&records, violation))
+            .collect();
         if !violations.is_empty() {
-            stories.extend(self.front_ends.iter().map(FrontEnd::log_story));
+            violation_traces.extend(self.front_ends.iter().map(FrontEnd::log_excerpt));
         }
-        Ok(PlayReport {
-            plan: self.plan.clone(),
-            requests: records.iter().filter(|r| matches!(r.event, Event::Sent { .. })).count(),
-            answers: answers(&records),
-            probes: probes(&records),
+        Ok(RunReport {
+            scenario: self.scenario.clone(),
+            requests: records.iter().filter(|r| matches!(r.event, Event::RequestSent { .. })).count(),
+            responses: count_responses(&records),
+            probes: count_probes(&records),
             never_injected: self.never_injected(&records),
             violations,
-            stories,
+            violation_traces,
         })
     }
 
-    /// Kinds of system calls that were to fail and never did, at any front end.
+    /// Kinds of system calls that were to fail but did not in any front end.
     fn never_injected(&self, records: &[Record]) -> Vec<String> {
-        let mut counts = [0; CALLS.len()];
+        let mut counts = [0; SYSTEM_CALLS.len()];
         for record in records {
-            if let Event::Injected { calls, .. } = &record.event {
-                counts.iter_mut().zip(calls).for_each(|(sum, calls)| *sum += calls);
+            if let Event::SystemCallsInjected { counts: injected, .. } = &record.event {
+                counts.iter_mut().zip(injected).for_each(|(sum, count)| *sum += count);
             }
         }
-        // Connections need not break, and the program need not read the wall clock at all.
-        let may_miss = |call: Call| matches!(call, Call::Broken | Call::WallClock);
-        let missed = |call: &Call| self.plan.rates[*call as usize] > 0 && counts[*call as usize] == 0;
-        CALLS
+        // A run need not have reset connections, and the front end need not read the wall clock.
+        let is_optional = |call: SystemCall| matches!(call, SystemCall::Broken | SystemCall::WallClock);
+        let is_missing = |call: &SystemCall| {
+            self.scenario.system_call_failures[*call as usize] > 0 && counts[*call as usize] == 0
+        };
+        SYSTEM_CALLS
             .into_iter()
-            .filter(|call| !may_miss(*call) && missed(call))
+            .filter(|call| !is_optional(*call) && is_missing(call))
             .map(|call| format!("{call:?}"))
             .collect()
     }
 }
 
 impl FrontEnd {
-    fn new(number: usize, plan: &Plan, folder: &Folder) -> io::Result<FrontEnd> {
-        // The same address over all lives: a port that is free now, on an address of its own.
+    fn new(number: usize, scenario: &Scenario, folder: &TempFolder) -> io::Result<FrontEnd> {
+        // Restarts keep the port, which no one else takes: the IP address belongs to this front end alone.
         let listen = std::net::TcpListener::bind((network::front_end(number), 0))?.local_addr()?;
         let control_path = folder.0.join(format!("control-{number}"));
-        let control = ControlFile::create(&control_path, plan.seed + number as u64)?;
+        let control = ControlFile::create(&control_path, scenario.seed + number as u64)?;
         let front_end = FrontEnd {
             number,
             listen,
@@ -561,57 +592,55 @@
             control_path,
             control,
             log: LogTail::default(),
-            door: Arc::default(),
+            connect_gate: Arc::default(),
             process: tokio::sync::Mutex::new(None),
-            wall_step_s: Mutex::new(0),
+            wall_clock_offset_s: Mutex::new(0),
         };
-        front_end.step_wall_clock(plan.wall_step_s);
+        front_end.set_wall_clock_offset(scenario.wall_clock_offset_s);
         Ok(front_end)
     }
 
-    fn step_wall_clock(&self, seconds: i64) {
-        if let Ok(mut step) = self.wall_step_s.lock() {
-            *step = seconds;
-            let _ = self.control.step_wall_clock(seconds * NANOS); // the file is ours and open
+    fn set_wall_clock_offset(&self, seconds: i64) {
+        if let Ok(mut offset) = self.wall_clock_offset_s.lock() {
+            *offset = seconds;
+            let _ = self.control.set_wall_clock_offset(seconds * NANOS_PER_SECOND);
+            // the file stays open
         }
     }
 
-    fn door_is_open(&self) -> bool {
-        self.door.is_open()
-    }
-
-    fn log_story(&self) -> String {
-        const LINES: usize = 40;
+    /// The last lines of its log.
+    fn log_excerpt(&self) -> String {
+        const MAX_LINES: usize = 40;
         let lines = self.log.lines();
-        let last = lines.iter().skip(lines.len().saturating_sub(LINES));
+        let last = lines.iter().skip(lines.len().saturating_sub(MAX_LINES));
         let text: String = last.map(|line| format!("  {line}\n")).collect();
         format!("log of n{}, last lines:\n{text}", self.number)
     }
 }
 
-fn keep(folder: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
+/// Writes the records of a run to `SEED.jsonl`.
+fn store(folder: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let lines: Result<Vec<String>, serde_json::Error> = records.iter().map(serde_json::to_string).collect();
     std::fs::write(folder.join(format!("{seed}.jsonl")), lines?.join("\n") + "\n")
 }
 
-fn answers(records: &[Record]) -> BTreeMap<String, usize> {
+fn count_responses(records: &[Record]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for record in records {
-        let Event::Answered { answer, .. } = &record.event else { continue };
-        let name = match answer {
-            Answer::Served => "served",
-            Answer::WrongBody => "wrong body",
-            Answer::Refused => "refused",
-            Answer::Failed => "failed",
+        let Event::ResponseReceived { response, .. } = &record.event else { continue };
+        let name = match response {
+            Response::Served => "served",
+            Response::WrongBody => "wrong body",
+            Response::Refused => "refused",
+            Response::Failed => "failed",
         };
         *counts.entry(name.to_owned()).or_default() += 1;
     }
     counts
 }
 
-fn probes(records: &[Record]) -> usize {
-    let probe =
-        |r: &&Record| matches!(&r.event, Event::Received { command: super::record::Command::Probe, .. });
-    records.iter().filter(probe).count()
+fn count_probes(records: &[Record]) -> usize {
+    let is_probe = |r: &&Record| matches!(&r.event, Event::CommandReceived { command: Command::Probe, .. });
+    records.iter().filter(is_probe).count()
 }
--- a/scale/src/soak/worker.rs
+++ b/scale/src/soak/worker.rs
@@ -1,4 +1,5 @@
-//! A stand-in worker: it loads, serves, turns away, drains, dies, hangs and answers oddly, as it is told.
+//! A stand-in worker. It loads copies and serves calls, and on demand it drains, rejects, crashes, hangs or
+//! sends faulty replies.
 use super::network;
 use super::record::{Command, Event, Recorder, Reply};
 use crate::node::wire::{answer, read_frame, Frame};
@@ -15,90 +16,100 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
+// Frame codes of commands.
 const CALL: u8 = 2;
-const GIVE_UP: u8 = 3;
-const HOLD: u8 = 6;
+const CANCEL: u8 = 3;
+const PROBES: [u8; 2] = [4, 5];
+const LOAD: u8 = 6;
+// Frame codes of replies.
 const OK: u8 = 200;
-const FULL: u8 = 203;
-const OVER: u8 = 205;
-const TAKES_WORK: u8 = 206;
-const TAKES_NO_WORK: u8 = 207;
-/// Calls that wait for a lane, for each lane: enough that a worker can be sent more than it can do.
-const WAITING_PER_LANE: usize = 100;
-/// A load takes this long.
-const LOAD: Duration = Duration::from_millis(150);
+const REJECTED: u8 = 203;
+const EXPIRED: u8 = 205;
+const ACCEPTING: u8 = 206;
+const NOT_ACCEPTING: u8 = 207;
+/// Calls that may be queued for each lane: enough that a worker can be sent more calls than it can serve in
+/// time.
+const QUEUED_CALLS_PER_LANE: usize = 100;
+const LOAD_TIME: Duration = Duration::from_millis(150);
+/// Delay of a reply that is made late as a fault.
+const LATE_REPLY_DELAY: Duration = Duration::from_millis(2_000);
+/// Number of kinds of faulty replies: late, sent twice, corrupted, truncated.
+const FAULTY_REPLY_KINDS: u32 = 4;
+const LISTEN_BACKLOG: u32 = 256;
 
-/// How a worker stands.
+/// The state of a worker, set by the run's faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
-    /// The number of its process; odd answers and links belong to one.
+pub struct WorkerStatus {
+    /// Number of its process, incremented with each start. Connections belong to one process.
     pub process: u32,
-    /// Whether a process runs.
+    /// Whether its process runs.
     pub up: bool,
     /// Whether it drains.
     pub draining: bool,
-    /// Whether it turns all away.
-    pub refusing: bool,
-    /// Whether it reads and writes nothing.
+    /// Whether it rejects all calls.
+    pub rejecting: bool,
+    /// Whether it has stopped acting on commands and writing.
     pub hung: bool,
-    /// Counted up with each reset of the idle connections.
+    /// Number of resets of its idle connections so far.
     pub resets: u32,
 }
 
-/// What all workers of a play share.
-pub struct Common {
-    /// Where events go.
+/// Settings and state that all workers of a run share.
+pub struct Settings {
+    /// Records the events.
     pub recorder: Arc<Recorder>,
-    /// Mean work of a call.
+    /// Mean execution time of a call.
     pub work: Duration,
-    /// Calls that a worker runs at a time.
+    /// Calls that a worker runs at the same time.
     pub lanes: u32,
-    /// Share of odd answers.
-    pub odd_answers: f64,
-    /// Numbers of links.
-    pub links: AtomicU64,
+    /// Share of faulty replies.
+    pub faulty_reply_share: f64,
+    /// Number of the next worker connection.
+    pub next_connection: AtomicU64,
 }
 
-/// A worker with an address for each front end.
+/// A worker, which has an address of its own for each front end.
 pub struct Worker {
     number: usize,
-    common: Arc<Common>,
-    /// How it stands; changed by the play.
-    pub standing: watch::Sender<Standing>,
+    settings: Arc<Settings>,
+    /// Its state; set by the run's faults.
+    pub status: watch::Sender<WorkerStatus>,
     lanes: Semaphore,
-    waiting: AtomicUsize,
+    /// Calls that wait for a lane or run.
+    open_calls: AtomicUsize,
+    /// A process number and the functions loaded in that process.
     loaded: Mutex<(u32, HashSet<u64>)>,
-    random: Mutex<Pcg64>,
+    rng: Mutex<Pcg64>,
 }
 
-/// The sending side of a link.
-struct Link {
+/// The sending side of a front end's connection to a worker.
+struct Connection {
     number: u64,
     front_end: usize,
     process: u32,
     write: tokio::sync::Mutex<Option<OwnedWriteHalf>>,
-    /// Requests whose calls are open; nothing once the link has ended.
+    /// Requests whose calls are open; `None` once the connection has ended.
     open: Mutex<Option<HashSet<u64>>>,
 }
 
 impl Worker {
-    /// Binds an address for each front end and serves there.
+    /// Starts a worker and returns its addresses, one for each front end.
     ///
     /// # Errors
-    /// Fails if there is no port.
+    /// Fails if an address cannot be bound.
     pub async fn start(
-        number: usize, front_ends: usize, common: Arc<Common>, seed: u64,
+        number: usize, front_ends: usize, settings: Arc<Settings>, seed: u64,
     ) -> io::Result<(Arc<Worker>, Vec<SocketAddr>)> {
-        let standing =
-            Standing { process: 0, up: true, draining: false, refusing: false, hung: false, resets: 0 };
+        let status =
+            WorkerStatus { process: 0, up: true, draining: false, rejecting: false, hung: false, resets: 0 };
         let worker = Arc::new(Worker {
             number,
-            lanes: Semaphore::new(common.lanes as usize),
-            common,
-            standing: watch::Sender::new(standing),
-            waiting: AtomicUsize::new(0),
+            lanes: Semaphore::new(settings.lanes as usize),
+            settings,
+            status: watch::Sender::new(status),
+            open_calls: AtomicUsize::new(0),
             loaded: Mutex::default(),
-            random: Mutex::new(Pcg64::seed_from_u64(seed)),
+            rng: Mutex::new(Pcg64::seed_from_u64(seed)),
         });
         let mut addresses = Vec::new();
         for front_end in 0..front_ends {
@@ -110,24 +121,25 @@
         Ok((worker, addresses))
     }
 
+    /// Listens for a front end while the worker is up.
     async fn accept(self: Arc<Self>, front_end: usize, address: SocketAddr, listener: TcpListener) {
-        let mut standing = self.standing.subscribe();
+        let mut status = self.status.subscribe();
         let mut listener = Some(listener);
         loop {
-            let now = *standing.borrow_and_update();
-            match (now.up, &listener) {
+            let current = *status.borrow_and_update();
+            match (current.up, &listener) {
                 (false, _) => listener = None,
                 (true, None) => listener = bind(address).ok(),
                 _ => {}
             }
             let Some(open) = &listener else {
-                if standing.changed().await.is_err() {
+                if status.changed().await.is_err() {
                     return;
                 }
                 continue;
             };
             tokio::select! {
-                changed = standing.changed() => if changed.is_err() { return },
+                changed = status.changed() => if changed.is_err() { return },
                 accepted = open.accept() => if let Ok((stream, _)) = accepted {
                     tokio::spawn(self.clone().serve(front_end, stream));
                 },
@@ -135,123 +147,126 @@
         }
     }
 
+    /// Serves a connection until it is closed, or until a fault closes it.
     async fn serve(self: Arc<Self>, front_end: usize, stream: TcpStream) {
-        let _ = stream.set_nodelay(true); // without it answers are only later
-        let _ = stream.set_zero_linger(); // a process that dies resets its connections
-        let mut standing = self.standing.subscribe();
-        let now = *standing.borrow_and_update();
+        let _ = stream.set_nodelay(true); // only affects latency
+        let _ = stream.set_zero_linger(); // a crashing process resets its connections
+        let mut status = self.status.subscribe();
+        let initial = *status.borrow_and_update();
         let (mut read, write) = stream.into_split();
-        let link = Arc::new(Link {
-            number: self.common.links.fetch_add(1, Ordering::Relaxed),
+        let connection = Arc::new(Connection {
+            number: self.settings.next_connection.fetch_add(1, Ordering::Relaxed),
             front_end,
-            process: now.process,
+            process: initial.process,
             write: tokio::sync::Mutex::new(Some(write)),
             open: Mutex::new(Some(HashSet::new())),
         });
-        let resets = now.resets;
+        let resets = initial.resets;
         let (frames, mut received) = tokio::sync::mpsc::unbounded_channel();
-        let (worker, to) = (self.clone(), link.clone());
-        // Commands are taken down as they arrive, also while the worker does nothing about them.
+        let (worker, from) = (self.clone(), connection.clone());
+        // Commands are recorded as they arrive, also while the worker hangs and does not act on them.
         let reader = tokio::spawn(async move {
             while let Ok(frame) = read_frame(&mut read).await {
-                let Some(command) = worker.received(&to, &frame) else { continue };
+                let Some(command) = worker.record_command(&from, &frame) else { continue };
                 if frames.send((frame, command)).is_err() {
                     break;
                 }
             }
-            worker.ended(&to); // what is open there is given up, also at a worker that does not look
+            worker.end_connection(&from); // this cancels its calls, also while the worker hangs
         });
         loop {
-            let now = *standing.borrow_and_update();
-            let idle = link.open.lock().is_ok_and(|open| open.as_ref().is_none_or(HashSet::is_empty));
-            if !now.up || now.process != link.process || now.resets > resets && idle {
+            let current = *status.borrow_and_update();
+            let idle = connection.open.lock().is_ok_and(|open| open.as_ref().is_none_or(HashSet::is_empty));
+            if !current.up || current.process != connection.process || current.resets > resets && idle {
                 break;
             }
             tokio::select! {
-                changed = standing.changed() => if changed.is_err() { break },
-                frame = received.recv(), if !now.hung => match frame {
-                    Some((frame, command)) => self.take(&link, &frame, command),
+                changed = status.changed() => if changed.is_err() { break },
+                frame = received.recv(), if !current.hung => match frame {
+                    Some((frame, command)) => self.execute(&connection, &frame, command),
                     None => break,
                 },
             }
         }
         reader.abort();
-        drop(link.write.lock().await.take());
-        self.ended(&link);
+        drop(connection.write.lock().await.take());
+        self.end_connection(&connection);
     }
 
-    /// A link has ended, and what was open there with it.
-    fn ended(&self, link: &Link) {
-        let Ok(mut open) = link.open.lock() else { return };
+    /// Records the end of a connection and drops the calls open on it.
+    fn end_connection(&self, connection: &Connection) {
+        let Ok(mut open) = connection.open.lock() else { return };
         if open.take().is_some() {
-            self.common.recorder.add(Event::LinkEnded { link: link.number });
+            self.settings.recorder.record(Event::WorkerConnectionEnded { connection: connection.number });
         }
     }
 
-    /// Takes down that a command has arrived.
-    fn received(&self, link: &Link, frame: &Frame) -> Option<Command> {
+    /// Decodes a command and records its arrival.
+    fn record_command(&self, connection: &Connection, frame: &Frame) -> Option<Command> {
         let number = |name: &str| frame.field(name).and_then(|value| value.parse().ok());
         let command = match frame.code {
             CALL => Command::Call { request: frame.id, budget_ms: number("budget").unwrap_or(0) },
-            GIVE_UP => Command::GiveUp { request: frame.id },
-            HOLD => Command::Order { copies: number("slots_up").unwrap_or(0) as u32 },
-            4 | 5 => Command::Probe,
+            CANCEL => Command::Cancel { request: frame.id },
+            LOAD => Command::Load { copies: number("slots_up").unwrap_or(0) as u32 },
+            code if PROBES.contains(&code) => Command::Probe,
             _ => return None,
         };
-        let began = self.common.recorder.at(frame.began);
-        self.common.recorder.add(Event::Received {
+        let first_byte_at = self.settings.recorder.time_of(frame.began);
+        self.settings.recorder.record(Event::CommandReceived {
             worker: self.number,
-            process: link.process,
-            front_end: link.front_end,
-            link: link.number,
-            began,
+            process: connection.process,
+            front_end: connection.front_end,
+            connection: connection.number,
+            first_byte_at,
             command: command.clone(),
         });
         Some(command)
     }
 
-    /// Carries a command out; what takes time goes on by itself.
-    fn take(self: &Arc<Self>, link: &Arc<Link>, frame: &Frame, command: Command) {
+    /// Executes a command; what takes time runs in a task of its own.
+    fn execute(self: &Arc<Self>, connection: &Arc<Connection>, frame: &Frame, command: Command) {
         let hex = |name: &str| frame.field(name).and_then(|value| u64::from_str_radix(value, 16).ok());
-        let standing = *self.standing.borrow();
-        let turned_away = standing.draining || standing.refusing;
-        let (worker, link, id) = (self.clone(), link.clone(), frame.id);
+        let status = *self.status.borrow();
+        let rejects = status.draining || status.rejecting;
+        let (worker, connection, id) = (self.clone(), connection.clone(), frame.id);
         match command {
             Command::Call { request, budget_ms } => {
-                if let Ok(mut open) = link.open.lock() {
+                if let Ok(mut open) = connection.open.lock() {
                     open.as_mut().map(|open| open.insert(request));
                 }
                 let function = hex("path").unwrap_or(0);
-                let until = frame.began + Duration::from_millis(budget_ms);
-                tokio::spawn(async move { worker.call(&link, request, function, until, turned_away).await });
+                let deadline = frame.began + Duration::from_millis(budget_ms);
+                tokio::spawn(async move {
+                    worker.call(&connection, request, function, deadline, rejects).await;
+                });
             }
-            Command::GiveUp { request } => {
-                if let Ok(mut open) = link.open.lock() {
+            Command::Cancel { request } => {
+                if let Ok(mut open) = connection.open.lock() {
                     open.as_mut().map(|open| open.remove(&request));
                 }
             }
-            Command::Order { copies } => {
+            Command::Load { copies } => {
                 let function = hex("path").unwrap_or(0);
                 tokio::spawn(async move {
-                    let code = if copies > 0 && turned_away { FULL } else { OK };
-                    let stands = worker.load(function, copies > 0 && code == OK).await;
-                    let fields = format!("slots_up={}", u32::from(stands));
-                    worker.send(&link, &answer(code, id, &fields, &[])).await;
+                    let code = if copies > 0 && rejects { REJECTED } else { OK };
+                    let loaded = worker.load(function, copies > 0 && code == OK).await;
+                    let fields = format!("slots_up={}", u32::from(loaded));
+                    worker.send(&connection, &answer(code, id, &fields, &[])).await;
                 });
             }
             Command::Probe => {
-                let code = if turned_away { TAKES_NO_WORK } else { TAKES_WORK };
+                let code = if rejects { NOT_ACCEPTING } else { ACCEPTING };
                 tokio::spawn(async move {
-                    worker.send(&link, &answer(code, id, "use=busy_reqs:1;x1:0", &[])).await;
+                    worker.send(&connection, &answer(code, id, "use=busy_reqs:1;x1:0", &[])).await;
                 });
             }
         }
     }
 
-    /// Whether a copy stands; loads one if that is wanted.
+    /// Loads a copy of a function if that is wanted and none is loaded; returns whether one is loaded now.
     async fn load(&self, function: u64, wanted: bool) -> bool {
-        let process = self.standing.borrow().process;
-        let stands = |insert: bool| {
+        let process = self.status.borrow().process;
+        let is_loaded = |insert: bool| {
             let Ok(mut loaded) = self.loaded.lock() else { return false };
             if loaded.0 != process {
                 *loaded = (process, HashSet::new());
@@ -261,91 +276,99 @@
             }
             loaded.1.contains(&function)
         };
-        if !stands(false) && wanted {
-            tokio::time::sleep(LOAD).await;
-            return stands(true);
+        if !is_loaded(false) && wanted {
+            tokio::time::sleep(LOAD_TIME).await;
+            return is_loaded(true);
         }
-        stands(false)
+        is_loaded(false)
     }
 
-    async fn call(&self, link: &Link, request: u64, function: u64, until: Instant, turned_away: bool) {
-        let most = self.common.lanes as usize * WAITING_PER_LANE;
-        if turned_away || self.waiting.load(Ordering::Acquire) >= most {
-            return self.reply(link, request, Reply::TurnedAway, &answer(FULL, request, "", &[])).await;
+    async fn call(
+        &self, connection: &Connection, request: u64, function: u64, deadline: Instant, rejects: bool,
+    ) {
+        let max_open_calls = self.settings.lanes as usize * QUEUED_CALLS_PER_LANE;
+        if rejects || self.open_calls.load(Ordering::Acquire) >= max_open_calls {
+            let bytes = answer(REJECTED, request, "", &[]);
+            return self.reply(connection, request, Reply::Rejected, &bytes).await;
         }
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.open_calls.fetch_add(1, Ordering::AcqRel);
         let lane = self.lanes.acquire().await;
-        if Instant::now() > until {
-            // One whose time is up is not begun.
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
-            return self.reply(link, request, Reply::TurnedAway, &answer(OVER, request, "", &[])).await;
+        if Instant::now() > deadline {
+            self.open_calls.fetch_sub(1, Ordering::AcqRel);
+            let bytes = answer(EXPIRED, request, "", &[]);
+            return self.reply(connection, request, Reply::Rejected, &bytes).await;
         }
         let warm = self.load(function, false).await;
         self.load(function, true).await;
-        let (drawn, odd, kind) = match self.random.lock() {
-            Ok(mut random) => (
-                random.random::<f64>(),
-                random.random_bool(self.common.odd_answers),
-                random.random_range(0..4),
+        let (extra_work, faulty, fault) = match self.rng.lock() {
+            Ok(mut rng) => (
+                rng.random::<f64>(),
+                rng.random_bool(self.settings.faulty_reply_share),
+                rng.random_range(0..FAULTY_REPLY_KINDS),
             ),
             Err(_) => return,
         };
-        tokio::time::sleep(self.common.work.mul_f64(0.5 + drawn)).await;
+        tokio::time::sleep(self.settings.work.mul_f64(0.5 + extra_work)).await;
         drop(lane);
-        self.waiting.fetch_sub(1, Ordering::AcqRel);
+        self.open_calls.fetch_sub(1, Ordering::AcqRel);
         let detail = if warm { "resident" } else { "booted" };
-        let fields = format!("detail={detail},use=busy_reqs:{};x1:0", self.waiting.load(Ordering::Acquire));
+        let open_calls = self.open_calls.load(Ordering::Acquire);
+        let fields = format!("detail={detail},use=busy_reqs:{open_calls};x1:0");
         let mut bytes = answer(OK, request, &fields, body(request).as_bytes());
-        match (odd, kind) {
-            (false, _) => self.reply(link, request, Reply::Ok, &bytes).await,
+        match (faulty, fault) {
+            (false, _) => self.reply(connection, request, Reply::Ok, &bytes).await,
+            // Late.
             (true, 0) => {
-                tokio::time::sleep(Duration::from_millis(2_000)).await;
-                self.reply(link, request, Reply::Ok, &bytes).await;
+                tokio::time::sleep(LATE_REPLY_DELAY).await;
+                self.reply(connection, request, Reply::Ok, &bytes).await;
             }
+            // Sent twice.
             (true, 1) => {
-                self.reply(link, request, Reply::Ok, &bytes).await;
-                self.send(link, &bytes).await;
+                self.reply(connection, request, Reply::Ok, &bytes).await;
+                self.send(connection, &bytes).await;
             }
+            // Corrupted: the checksum does not match.
             (true, 2) => {
                 let last = bytes.len() - 1;
                 bytes[last] ^= 1;
-                self.reply(link, request, Reply::Spoilt, &bytes).await;
+                self.reply(connection, request, Reply::Corrupted, &bytes).await;
             }
+            // Truncated.
             (true, _) => {
-                self.reply(link, request, Reply::Spoilt, &bytes[..bytes.len() / 2]).await;
-                drop(link.write.lock().await.take());
+                self.reply(connection, request, Reply::Corrupted, &bytes[..bytes.len() / 2]).await;
+                drop(connection.write.lock().await.take());
             }
         }
     }
 
-    /// Ends a call, unless it was given up.
-    async fn reply(&self, link: &Link, request: u64, reply: Reply, bytes: &[u8]) {
-        self.while_hung().await;
+    /// Ends a call with a reply, unless it was cancelled.
+    async fn reply(&self, connection: &Connection, request: u64, reply: Reply, bytes: &[u8]) {
+        self.wait_while_hung().await;
         {
-            let Ok(mut open) = link.open.lock() else { return };
+            let Ok(mut open) = connection.open.lock() else { return };
             if !open.as_mut().is_some_and(|open| open.remove(&request)) {
-                return; // given up
+                return; // cancelled
             }
-            let (worker, front_end) = (self.number, link.front_end);
-            self.common.recorder.add(Event::Replied { worker, front_end, request, reply });
+            let (worker, front_end) = (self.number, connection.front_end);
+            self.settings.recorder.record(Event::ReplySent { worker, front_end, request, reply });
         }
-        self.send(link, bytes).await;
+        self.send(connection, bytes).await;
     }
 
-    async fn send(&self, link: &Link, bytes: &[u8]) {
-        self.while_hung().await;
-        if let Some(write) = link.write.lock().await.as_mut() {
-            let _ = write.write_all(bytes).await; // the front end may have closed
+    async fn send(&self, connection: &Connection, bytes: &[u8]) {
+        self.wait_while_hung().await;
+        if let Some(write) = connection.write.lock().await.as_mut() {
+            let _ = write.write_all(bytes).await; // the front end may have closed the connection
         }
     }
 
-    async fn while_hung(&self) {
-        let mut standing = self.standing.subscribe();
-        let _ = standing.wait_for(|standing| !standing.hung).await; // the play may have ended
+    async fn wait_while_hung(&self) {
+        let mut status = self.status.subscribe();
+        let _ = status.wait_for(|status| !status.hung).await; // fails only when the run has ended
     }
 }
 
-/// The body that a worker makes for a request.
+/// The body that a worker produces for a request.
 pub fn body(request: u64) -> String {
     format!("made for {request:016x}")
 }
@@ -354,5 +377,5 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(256)
+    socket.listen(LISTEN_BACKLOG)
 }
--- a/scale/tests/record_format.rs
+++ b/scale/tests/record_format.rs
@@ -1,4 +1,5 @@
-//! The stored format of records: each event must be read and written byte for byte as earlier builds wrote it.
+//! The stored format of records: each event must be read and written byte for byte as earlier builds wrote
+//! it.
 use heronslip_scale::soak::record::Record;
 
 /// Every event once, and again for each value of its enumerated fields.
--- a/scale/tests/slopes.rs
+++ b/scale/tests/slopes.rs
@@ -1,5 +1,5 @@
-//! What docs/CAPACITY.md rests on: how a front end's state and messages grow, as counts and as ratios between two
-//! sizes, on the virtual clock.
+//! What docs/CAPACITY.md rests on: how a front end's state and messages grow, as counts and as ratios between
+//! two sizes, on the virtual clock.
 mod common;
 
 use common::play;
@@ -50,8 +50,8 @@
     assert!(many.holds_s <= 1.5 * few.holds_s + 1.0, "{few:?} {many:?}");
 }
 
-/// Front ends that lose the board for some seconds while the list changes, with this many workers and memory of the
-/// board for changes.
+/// Front ends that lose the board for some seconds while the list changes, with this many workers and memory
+/// of the board for changes.
 fn cut_off(workers: u32, history: u32) -> FleetReport {
     let cut = |region| Failure {
         at_s: 1.0,
--- a/scale/tests/soak.rs
+++ b/scale/tests/soak.rs
@@ -1,5 +1,6 @@
-//! What plays are drawn from and what is drawn: the same seed has the same faults at the same times, within bounds.
-use heronslip_scale::soak::plan::{Fault, Plan};
+//! What plays are drawn from and what is drawn: the same seed has the same faults at the same times, within
+//! bounds.
+use heronslip_scale::soak::scenario::{Fault, Scenario};
 use heronslip_scale::soak::SoakConfig;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -14,20 +15,21 @@
 #[test]
 fn a_seed_draws_the_same_play_each_time() {
     let config = SoakConfig::read(&shipped("soak.toml")).expect("a soak's file");
-    let drawn = |seed| serde_json::to_string(&Plan::draw(&config, seed)).expect("JSON");
+    let drawn = |seed| serde_json::to_string(&Scenario::draw(&config, seed)).expect("JSON");
     for seed in 0..50 {
         assert_eq!(drawn(seed), drawn(seed), "seed {seed}");
     }
     assert_ne!(drawn(1), drawn(2));
 }
 
-/// Faults come in the order of their times, none in the first seconds; a worker has one fault that changes the list.
+/// Faults come in the order of their times, none in the first seconds; a worker has one fault that changes
+/// the list.
 #[test]
 fn plays_keep_to_their_ranges() {
     for file in ["soak.toml", "soak-ci.toml"] {
         let config = SoakConfig::read(&shipped(file)).expect("a soak's file");
         for seed in 0..200 {
-            let plan = Plan::draw(&config, seed);
+            let plan = Scenario::draw(&config, seed);
             assert!((config.workers[0]..=config.workers[1]).contains(&plan.workers));
             assert!(plan.faults.is_sorted_by_key(|(at, _)| *at));
             assert!(plan.faults.iter().all(|(at, _)| *at >= 3_000_000), "seed {seed}");
--- a/shim/control/src/lib.rs
+++ b/shim/control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The file that the fault tool and the shim share: what is to fail, and what has.
+//! The control file that the fault injection tool and the shim share: failure rates and counts of injected
+//! faults.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -9,104 +10,108 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicI64, AtomicU32, AtomicU64, Ordering};
 
-/// The environment variable that names the file.
+/// The environment variable that holds the path of the control file.
 pub const CONTROL_VARIABLE: &str = "HERONSLIP_SHIM_CONTROL";
 
-/// A kind of system call that can be made to fail.
+/// A kind of system call into which faults can be injected.
+///
+/// The order of the variants is the order of the rates and counters in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// `accept4`: ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM.
+pub enum SystemCall {
+    /// `accept4` fails with ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS or ENOMEM.
     Accept,
-    /// `socket`: EMFILE, ENFILE, ENOBUFS, ENOMEM.
+    /// `socket` fails with EMFILE, ENFILE, ENOBUFS or ENOMEM.
     Socket,
-    /// `connect`: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT.
+    /// `connect` fails with EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH or ETIMEDOUT.
     Connect,
-    /// `recv` brings EINTR, or less than there is.
+    /// `recv` fails with EINTR, or returns fewer bytes than are available.
     Read,
-    /// `send` brings EINTR, or takes less than there is.
+    /// `send` fails with EINTR, or writes fewer bytes than it was given.
     Write,
-    /// `epoll_wait` brings EINTR.
+    /// `epoll_wait` fails with EINTR.
     Wait,
-    /// A connection that was reset shows as ETIMEDOUT or EHOSTUNREACH.
+    /// `recv` or `send` on a reset connection reports ETIMEDOUT or EHOSTUNREACH instead of ECONNRESET.
     Broken,
-    /// The wall clock was read while it was stepped.
+    /// The wall clock was read while it had an offset.
     WallClock,
 }
 
-/// All kinds, in the order of their counters.
-pub const CALLS: [Call; 8] = [
-    Call::Accept,
-    Call::Socket,
-    Call::Connect,
-    Call::Read,
-    Call::Write,
-    Call::Wait,
-    Call::Broken,
-    Call::WallClock,
+/// All kinds, in the order of their rates and counters.
+pub const SYSTEM_CALLS: [SystemCall; 8] = [
+    SystemCall::Accept,
+    SystemCall::Socket,
+    SystemCall::Connect,
+    SystemCall::Read,
+    SystemCall::Write,
+    SystemCall::Wait,
+    SystemCall::Broken,
+    SystemCall::WallClock,
 ];
 
-/// Of how many calls of each kind one fails, in thousandths.
-pub type Rates = [u32; CALLS.len()];
+/// Failing calls per thousand, for each kind.
+pub type FailureRates = [u32; SYSTEM_CALLS.len()];
 
-/// The mapped file. All of it is atomic: the two sides are processes of their own.
+/// The contents of the control file as both sides map it; all fields are atomic because two processes share
+/// them.
 #[repr(C)]
 #[derive(Debug)]
 pub struct Control {
-    /// What is added to the wall clock, in nanoseconds.
-    wall_step: AtomicI64,
-    /// State of the random numbers.
+    wall_clock_offset_ns: AtomicI64,
+    /// State of the random number generator.
     random: AtomicU64,
-    injected: [AtomicU64; CALLS.len()],
-    rates: [AtomicU32; CALLS.len()],
+    injected: [AtomicU64; SYSTEM_CALLS.len()],
+    rates: [AtomicU32; SYSTEM_CALLS.len()],
 }
 
-/// Bytes of the file.
+/// Size of the control file in bytes.
 pub const CONTROL_BYTES: usize = size_of::<Control>();
 
-const MILLE: u64 = 1_000;
-/// Weyl sequence and mixer of SplitMix64 (Steele, Lea, Flood 2014).
-const WEYL: u64 = 0x9e37_79b9_7f4a_7c15;
+const PER_MILLE: u64 = 1_000;
+/// Increment of SplitMix64 (Steele, Lea, Flood 2014).
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Control {
-    /// What is added to the wall clock, in nanoseconds; counted if anything is.
-    pub fn wall_step(&self) -> i64 {
-        let step = self.wall_step.load(Ordering::Relaxed);
-        if step != 0 {
-            self.count(Call::WallClock);
+    /// The offset to add to the wall clock, in nanoseconds. An offset other than 0 is counted as an injected
+    /// fault.
+    pub fn wall_clock_offset_ns(&self) -> i64 {
+        let offset = self.wall_clock_offset_ns.load(Ordering::Relaxed);
+        if offset != 0 {
+            self.count_injected(SystemCall::WallClock);
         }
-        step
+        offset
     }
 
     /// Counts an injected fault.
-    pub fn count(&self, call: Call) {
+    pub fn count_injected(&self, call: SystemCall) {
         self.injected[call as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A random number.
-    pub fn draw(&self) -> u64 {
-        let mut z = self.random.fetch_add(WEYL, Ordering::Relaxed).wrapping_add(WEYL);
+    /// Draws a random number (SplitMix64).
+    pub fn next_random(&self) -> u64 {
+        let mut z =
+            self.random.fetch_add(SPLITMIX64_INCREMENT, Ordering::Relaxed).wrapping_add(SPLITMIX64_INCREMENT);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     }
 
-    /// Whether this call is to fail; counted if so.
-    pub fn fails(&self, call: Call) -> bool {
+    /// Decides at random whether this call is to fail, and counts it if so.
+    pub fn should_fail(&self, call: SystemCall) -> bool {
         let rate = self.rates[call as usize].load(Ordering::Relaxed);
-        let fails = rate > 0 && self.draw() % MILLE < u64::from(rate);
+        let fails = rate > 0 && self.next_random() % PER_MILLE < u64::from(rate);
         if fails {
-            self.count(call);
+            self.count_injected(call);
         }
         fails
     }
 }
 
-/// The file as the fault tool writes and reads it, also while a shim has it mapped.
+/// The control file as the fault injection tool writes and reads it, also while a shim has it mapped.
 #[derive(Debug)]
 pub struct ControlFile(File);
 
 impl ControlFile {
-    /// Makes a file in which nothing fails, with random numbers from this seed.
+    /// Creates a control file in which all failure rates are 0.
     ///
     /// # Errors
     /// Fails if the file cannot be written.
@@ -117,29 +122,29 @@
         Ok(ControlFile(file))
     }
 
-    /// Sets how often each kind of call fails.
+    /// Sets the failure rate of each kind of system call.
     ///
     /// # Errors
     /// Fails if the file cannot be written.
-    pub fn set_rates(&self, rates: &Rates) -> io::Result<()> {
+    pub fn set_rates(&self, rates: &FailureRates) -> io::Result<()> {
         let bytes: Vec<u8> = rates.iter().flat_map(|rate| rate.to_ne_bytes()).collect();
         self.0.write_all_at(&bytes, offset_of!(Control, rates) as u64)
     }
 
-    /// Steps the wall clock to so many nanoseconds beside the true one.
+    /// Sets the offset of the wall clock from the true time.
     ///
     /// # Errors
     /// Fails if the file cannot be written.
-    pub fn step_wall_clock(&self, nanoseconds: i64) -> io::Result<()> {
-        self.0.write_all_at(&nanoseconds.to_ne_bytes(), offset_of!(Control, wall_step) as u64)
+    pub fn set_wall_clock_offset(&self, nanoseconds: i64) -> io::Result<()> {
+        self.0.write_all_at(&nanoseconds.to_ne_bytes(), offset_of!(Control, wall_clock_offset_ns) as u64)
     }
 
-    /// How often each kind was made to fail so far.
+    /// The number of faults injected so far, for each kind.
     ///
     /// # Errors
     /// Fails if the file cannot be read.
-    pub fn injected(&self) -> io::Result<[u64; CALLS.len()]> {
-        let mut bytes = [0; 8 * CALLS.len()];
+    pub fn injected(&self) -> io::Result<[u64; SYSTEM_CALLS.len()]> {
+        let mut bytes = [0; 8 * SYSTEM_CALLS.len()];
         self.0.read_exact_at(&mut bytes, offset_of!(Control, injected) as u64)?;
         let (counts, _) = bytes.as_chunks::<8>();
         Ok(std::array::from_fn(|n| u64::from_ne_bytes(counts[n])))
--- a/shim/src/calls.rs
+++ b/shim/src/calls.rs
@@ -1,130 +1,135 @@
-//! The functions of the C library that stand before the real ones.
-use heronslip_shim_control::{Call, Control, CONTROL_BYTES, CONTROL_VARIABLE};
+//! The C library functions that this library interposes: each injects a fault or calls the real function.
+use heronslip_shim_control::{Control, SystemCall, CONTROL_BYTES, CONTROL_VARIABLE};
 use libc::{c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::{CStr, CString};
 use std::sync::OnceLock;
 
-const NANOS: i64 = 1_000_000_000;
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// The mapped file, if the process was told of one.
+/// The mapped control file, if the environment names one.
 fn control() -> Option<&'static Control> {
     static CONTROL: OnceLock<Option<&'static Control>> = OnceLock::new();
-    *CONTROL.get_or_init(map)
+    *CONTROL.get_or_init(map_control_file)
 }
 
-fn map() -> Option<&'static Control> {
+fn map_control_file() -> Option<&'static Control> {
     let variable = CString::new(CONTROL_VARIABLE).ok()?;
-    // SAFETY: getenv's text stays while nobody changes the environment, which a front end does not.
+    // SAFETY: getenv's result is valid until the environment is changed, which a front end never does.
     let path = unsafe { libc::getenv(variable.as_ptr()) };
     if path.is_null() {
         return None;
     }
-    // SAFETY: `path` is a text that ends; the file is mapped for as long as the process lives and holds atomics only.
+    // SAFETY: `path` is NUL-terminated; the mapping lasts until the process exits, and `Control` has only
+    // atomic fields.
     unsafe {
         let file = libc::open(path, libc::O_RDWR | libc::O_CLOEXEC);
         if file < 0 {
             return None;
         }
         let access = libc::PROT_READ | libc::PROT_WRITE;
-        let at = libc::mmap(std::ptr::null_mut(), CONTROL_BYTES, access, libc::MAP_SHARED, file, 0);
+        let address = libc::mmap(std::ptr::null_mut(), CONTROL_BYTES, access, libc::MAP_SHARED, file, 0);
         libc::close(file);
-        (at != libc::MAP_FAILED).then(|| &*(at as *const Control))
+        (address != libc::MAP_FAILED).then(|| &*(address as *const Control))
     }
 }
 
-/// The real function of this name.
-fn real(name: &'static CStr, kept: &OnceLock<usize>) -> usize {
-    // SAFETY: a look-up of a name in the libraries behind this one.
-    *kept.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize)
+/// The address of the real function of this name, looked up once.
+fn real_address(name: &'static CStr, cache: &OnceLock<usize>) -> usize {
+    // SAFETY: `name` is NUL-terminated; RTLD_NEXT searches the libraries loaded after this one.
+    *cache.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize)
 }
 
 macro_rules! real {
     ($name:literal as $kind:ty) => {{
-        static KEPT: OnceLock<usize> = OnceLock::new();
-        // SAFETY: the C library's own function has this type.
-        unsafe { std::mem::transmute::<usize, $kind>(real($name, &KEPT)) }
+        static ADDRESS: OnceLock<usize> = OnceLock::new();
+        // SAFETY: the C library's function of this name has this type.
+        unsafe { std::mem::transmute::<usize, $kind>(real_address($name, &ADDRESS)) }
     }};
 }
 
 fn fail(errno: c_int) -> c_int {
-    // SAFETY: the thread's own errno.
+    // SAFETY: __errno_location points to the errno of the calling thread.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
 fn errno() -> c_int {
-    // SAFETY: the thread's own errno.
+    // SAFETY: __errno_location points to the errno of the calling thread.
     unsafe { *libc::__errno_location() }
 }
 
-/// One of these errors, if this call is to fail.
-fn injected(call: Call, errors: &[c_int]) -> Option<c_int> {
-    let control = control().filter(|c| c.fails(call))?;
-    errors.get(control.draw() as usize % errors.len()).copied()
+/// One of these errors, drawn at random, if this call is to fail.
+fn injected_error(call: SystemCall, errors: &[c_int]) -> Option<c_int> {
+    let control = control().filter(|c| c.should_fail(call))?;
+    errors.get(control.next_random() as usize % errors.len()).copied()
 }
 
-/// How many of these bytes go through: all, or a part of them if that is injected. `None`: the call is interrupted.
-fn bytes(call: Call, wanted: size_t) -> Option<size_t> {
-    let Some(control) = control().filter(|c| wanted > 1 && c.fails(call)) else { return Some(wanted) };
-    match control.draw() % 4 {
+/// How many of the requested bytes a call may transfer: all, or fewer if a fault is injected. `None` if the
+/// injected fault is an interruption.
+fn transfer_length(call: SystemCall, requested: size_t) -> Option<size_t> {
+    let Some(control) = control().filter(|c| requested > 1 && c.should_fail(call)) else {
+        return Some(requested);
+    };
+    match control.next_random() % 4 {
         0 => None,
         1 => Some(1),
-        _ => Some(1 + control.draw() as size_t % (wanted - 1)),
+        _ => Some(1 + control.next_random() as size_t % (requested - 1)),
     }
 }
 
-/// What a read or write brought: a reset may show as another error.
-fn ended(result: ssize_t) -> ssize_t {
+/// The result of a read or write, in which ECONNRESET may be replaced by another error.
+fn replace_reset_error(result: ssize_t) -> ssize_t {
     if result < 0 && errno() == libc::ECONNRESET {
-        if let Some(error) = injected(Call::Broken, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]) {
+        if let Some(error) = injected_error(SystemCall::Broken, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]) {
             return fail(error) as ssize_t;
         }
     }
     result
 }
 
-/// Reads a clock; the wall clock with the step that was set.
+/// Reads a clock; adds the configured offset to the wall clock.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn clock_gettime(clock: clockid_t, to: *mut timespec) -> c_int {
-    let next = real!(c"clock_gettime" as unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
-    let result = next(clock, to);
+pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
+    let real = real!(c"clock_gettime" as unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
+    let result = real(clock, time);
     if result == 0 && (clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE) {
-        let step = control().map_or(0, Control::wall_step);
-        let nanos = (*to).tv_sec * NANOS + (*to).tv_nsec + step;
-        ((*to).tv_sec, (*to).tv_nsec) = (nanos.div_euclid(NANOS), nanos.rem_euclid(NANOS));
+        let offset = control().map_or(0, Control::wall_clock_offset_ns);
+        let nanos = (*time).tv_sec * NANOS_PER_SECOND + (*time).tv_nsec + offset;
+        (*time).tv_sec = nanos.div_euclid(NANOS_PER_SECOND);
+        (*time).tv_nsec = nanos.rem_euclid(NANOS_PER_SECOND);
     }
     result
 }
 
-/// Takes a connection in, or fails for a moment.
+/// Accepts a connection, or fails with a temporary error.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int,
 ) -> c_int {
     const ERRORS: [c_int; 6] =
         [libc::ECONNABORTED, libc::EINTR, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    if let Some(error) = injected(Call::Accept, &ERRORS) {
+    if let Some(error) = injected_error(SystemCall::Accept, &ERRORS) {
         return fail(error);
     }
     type Real = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
     real!(c"accept4" as Real)(socket, address, length, flags)
 }
 
-/// Makes a socket, or fails for a moment.
+/// Creates a socket, or fails with a temporary error. Only IPv4 sockets fail.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     const ERRORS: [c_int; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     if domain == libc::AF_INET {
-        if let Some(error) = injected(Call::Socket, &ERRORS) {
+        if let Some(error) = injected_error(SystemCall::Socket, &ERRORS) {
             return fail(error);
         }
     }
@@ -134,49 +139,54 @@
 /// Connects, or fails at once.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     const ERRORS: [c_int; 4] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EHOSTUNREACH, libc::ETIMEDOUT];
-    if let Some(error) = injected(Call::Connect, &ERRORS) {
+    if let Some(error) = injected_error(SystemCall::Connect, &ERRORS) {
         return fail(error);
     }
     type Real = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
     real!(c"connect" as Real)(socket, address, length)
 }
 
-/// Reads from a socket, maybe less than there is.
+/// Reads from a socket, possibly fewer bytes than are available.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn recv(socket: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let wanted = if flags & libc::MSG_PEEK == 0 { bytes(Call::Read, length) } else { Some(length) };
-    let Some(wanted) = wanted else { return fail(libc::EINTR) as ssize_t };
+pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+    let allowed =
+        if flags & libc::MSG_PEEK == 0 { transfer_length(SystemCall::Read, length) } else { Some(length) };
+    let Some(allowed) = allowed else { return fail(libc::EINTR) as ssize_t };
     type Real = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-    ended(real!(c"recv" as Real)(socket, to, wanted, flags))
+    replace_reset_error(real!(c"recv" as Real)(socket, buffer, allowed, flags))
 }
 
-/// Writes to a socket, maybe less than there is.
+/// Writes to a socket, possibly fewer bytes than were given.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let Some(wanted) = bytes(Call::Write, length) else { return fail(libc::EINTR) as ssize_t };
+pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+    let Some(allowed) = transfer_length(SystemCall::Write, length) else {
+        return fail(libc::EINTR) as ssize_t;
+    };
     type Real = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-    ended(real!(c"send" as Real)(socket, from, wanted, flags))
+    replace_reset_error(real!(c"send" as Real)(socket, buffer, allowed, flags))
 }
 
-/// Waits for events, or is interrupted.
+/// Waits for events, or fails as if interrupted by a signal.
 ///
 /// # Safety
-/// As of the C library's function.
+/// The same as for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn epoll_wait(epoll: c_int, to: *mut epoll_event, most: c_int, wait: c_int) -> c_int {
-    if injected(Call::Wait, &[libc::EINTR]).is_some() {
+pub unsafe extern "C" fn epoll_wait(
+    epoll: c_int, events: *mut epoll_event, capacity: c_int, timeout: c_int,
+) -> c_int {
+    if injected_error(SystemCall::Wait, &[libc::EINTR]).is_some() {
         return fail(libc::EINTR);
     }
     type Real = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
-    real!(c"epoll_wait" as Real)(epoll, to, most, wait)
+    real!(c"epoll_wait" as Real)(epoll, events, capacity, timeout)
 }
--- a/shim/src/lib.rs
+++ b/shim/src/lib.rs
@@ -1,8 +1,9 @@
-//! System calls that fail in the ways that Linux documents, and a wall clock that can be stepped, for one process.
+//! A library for `LD_PRELOAD` that injects system call failures, as Linux documents them, and wall clock
+//! steps into one process.
 //!
-//! The fault tool loads this library into the front ends that it starts (`LD_PRELOAD`) and into nothing else. Both
-//! sides map the same small file, named by `HERONSLIP_SHIM_CONTROL`: the tool writes there what is to fail and how often,
-//! the library what it has injected. All times other than the wall clock's are left alone.
+//! The fault injection tool preloads it into the front ends that it starts and into nothing else. Both map
+//! the control file that `HERONSLIP_SHIM_CONTROL` names: the tool writes there what is to fail and how often,
+//! the library counts what it has injected. Clocks other than the wall clock are left alone.
 #![warn(missing_docs)]
 
 mod calls;
