--- a/scale/src/soak/discovery_server.rs
+++ b/scale/src/soak/discovery_server.rs
@@ -267,7 +267,7 @@
     }
 
     /// The events after version `last` and the version that they lead to, or a keep-alive comment if there
-    /// are none. A front end without a version (`last` is 0) gets the whole list as one event.
+    /// are none. A front end without a version (`last` is 0) gets the full list as one event.
     fn events_since(
         &self, front_end: usize, last: u64, version_changes: &mut watch::Receiver<u64>,
     ) -> (Vec<u8>, u64) {
@@ -296,7 +296,7 @@
         format!(r#"{{"rev":{version},"pool":{{"generation":1,"reset":false,"instances":[{instances}]}}}}"#)
     }
 
-    /// The whole worker list as of a version, as the data of an event.
+    /// The full worker list as of a version, as the data of an event.
     fn snapshot(&self, front_end: usize, version: u64) -> String {
         let Ok(changes) = self.changes.lock() else { return String::new() };
         let mut latest: Vec<Option<&Change>> = vec![None; self.endpoints[front_end].workers.len()];
--- a/scale/src/soak/record.rs
+++ b/scale/src/soak/record.rs
@@ -306,7 +306,7 @@
     },
     /// How many faults the shim injected into a front-end process, reported when that has exited.
     #[serde(rename = "injected")]
-    SystemCallsInjected {
+    FaultsInjected {
         /// The front end.
         front_end: usize,
         /// Counts, in the order of [`heronslip_shim_control::SYSTEM_CALLS`].
--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -385,7 +385,7 @@
         let exit_status = process.wait().await;
         self.recorder.record(Event::FrontEndExited { front_end: number, killed: true, exit_status });
         let counts = front_end.control.injected().map(|counts| counts.to_vec()).unwrap_or_default();
-        self.recorder.record(Event::SystemCallsInjected { front_end: number, counts });
+        self.recorder.record(Event::FaultsInjected { front_end: number, counts });
     }
 
     async fn inject(self: Arc<Self>, fault: Fault) {
@@ -562,7 +562,7 @@
     fn never_injected(&self, records: &[Record]) -> Vec<String> {
         let mut counts = [0; SYSTEM_CALLS.len()];
         for record in records {
-            if let Event::SystemCallsInjected { counts: injected, .. } = &record.event {
+            if let Event::FaultsInjected { counts: injected, .. } = &record.event {
                 counts.iter_mut().zip(injected).for_each(|(sum, count)| *sum += count);
             }
         }
@@ -603,8 +603,8 @@
     fn set_wall_clock_offset(&self, seconds: i64) {
         if let Ok(mut offset) = self.wall_clock_offset_s.lock() {
             *offset = seconds;
+            // The file stays open for as long as the run, so that this write is not expected to fail.
             let _ = self.control.set_wall_clock_offset(seconds * NANOS_PER_SECOND);
-            // the file stays open
         }
     }
 
--- a/scale/src/soak/violation_trace.rs
+++ b/scale/src/soak/violation_trace.rs
@@ -24,8 +24,8 @@
         }
     };
     for record in records.iter().filter(is_related).take(MAX_TRACE_LINES) {
+        // Writing to a String cannot fail.
         let _ = writeln!(text, "  {:.3} {:?}", seconds(record.at), record.event);
-        // a String takes any text
     }
     text
 }
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of small experiments.
+//! Short runs of the sample experiment.
 use heronslip_scale::experiment::{Experiment, Failure};
 use heronslip_scale::report::FleetReport;
 use heronslip_scale::{fleet, node};
@@ -7,10 +7,10 @@
 /// The sample experiment of the repository.
 pub fn sample() -> Experiment {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/small.toml");
-    Experiment::read(&path).expect("the sample is sound")
+    Experiment::read(&path).expect("the sample experiment is valid")
 }
 
-/// Failures of the sample, one a second from 2 s on, each a second long.
+/// The failures of the sample experiment, starting one a second from 2 s on and lasting one second each.
 #[allow(dead_code)]
 pub fn short_failures() -> Vec<Failure> {
     let mut failures = sample().failure;
@@ -20,13 +20,14 @@
     failures
 }
 
-/// A short run of four front ends and forty workers without failures, changed as a test wants it.
-pub fn play(change: impl FnOnce(&mut Experiment)) -> FleetReport {
+/// Runs a short experiment of four front ends and forty workers without failures, after `change` has adapted
+/// it.
+pub fn run_experiment(change: impl FnOnce(&mut Experiment)) -> FleetReport {
     let mut experiment = sample();
     (experiment.duration_s, experiment.warm_up_s) = (8.0, 2.0);
     (experiment.fleet.front_ends, experiment.fleet.workers) = (4, 40);
     experiment.failure.clear();
     change(&mut experiment);
-    let (settings, _) = node::settings(&experiment).expect("the sample's settings are sound");
+    let (settings, _) = node::settings(&experiment).expect("the sample's settings are valid");
     fleet::run(&experiment, settings)
 }
