--- a/scale/src/soak/checker/discovery.rs
+++ b/scale/src/soak/checker/discovery.rs
@@ -3,10 +3,9 @@
 use crate::soak::record::{Command, Event, Micros, Outage, Record, Signal, WorkerState};
 use std::collections::BTreeMap;
 
-/// After its discovery connection has broken, a front end counts as notified of all changes from this time
-/// on.
+/// Time from the break of a discovery connection to when the front end counts as notified of changes.
 const NOTIFIED_AFTER_BREAK: Micros = 2_000 * MILLISECOND;
-/// The same after the discovery server has gone silent, or after SIGHUP has announced a new address.
+/// The same when the discovery server has gone silent, or when SIGHUP has announced a new address.
 const NOTIFIED_AFTER_SILENCE: Micros = 4_000 * MILLISECOND;
 
 /// A time in which a front end may not receive worker list changes.
@@ -21,8 +20,8 @@
 /// When each front end counts as notified of each version of the worker list.
 pub(super) struct Notifications {
     gaps: BTreeMap<usize, Vec<Gap>>,
-    /// For each front end, when it was sent, started with or requested the list, and the version up to which
-    /// that counts.
+    /// For each front end, when it received, started with or requested the worker list, and the version that it
+    /// has from then on.
     received: BTreeMap<usize, Vec<(Micros, u64)>>,
 }
 
@@ -79,8 +78,8 @@
         open.filter(|gap| gap.notified_after == NOTIFIED_AFTER_SILENCE).for_each(|gap| gap.to = at);
     }
 
-    /// When a front end counts as notified of a version that was published at `published_at`: when it
-    /// received it, at the latest the bound of a gap that was open then.
+    /// When a front end counts as notified of a version that was published at `published_at`: at once, or if a
+    /// gap was open then, when it received the version, but no later than `notified_after` the gap's start.
     pub(super) fn notified_at(&self, front_end: usize, version: u64, published_at: Micros) -> Micros {
         let gaps = self.gaps.get(&front_end).map_or(&[][..], Vec::as_slice);
         let open_gaps = gaps.iter().filter(|gap| gap.from <= published_at && published_at < gap.to);
@@ -124,7 +123,7 @@
                 if *first_byte_at > until {
                     let late_ms = (first_byte_at - until) / MILLISECOND;
                     let text = format!(
-                        "{what} from front end {front_end} to worker {worker}, {late_ms} ms after the drain grace period; the worker drains since {:.3} s",
+                        "{what} from front end {front_end} to worker {worker}, {late_ms} ms after the drain grace period; the worker has been draining since {:.3} s",
                         published_at as f64 / 1e6
                     );
                     violations.push(Violation { rule: Rule::Drain, at: *first_byte_at, request, text });
--- a/scale/src/soak/checker/processes.rs
+++ b/scale/src/soak/checker/processes.rs
@@ -8,7 +8,7 @@
 const READY_TIMEOUT: Micros = 10_000 * MILLISECOND;
 /// Time in which a bad client must receive some bytes or a close.
 const BAD_CLIENT_TIMEOUT: Micros = 3_000 * MILLISECOND;
-/// Tolerance for the time in which the stand-in client notices the answer.
+/// Tolerance for the time in which the stand-in client notices the bytes or the close.
 const DETECTION_TOLERANCE: Micros = 250 * MILLISECOND;
 
 #[derive(Default)]
--- a/scale/src/soak/discovery_server.rs
+++ b/scale/src/soak/discovery_server.rs
@@ -161,6 +161,7 @@
 }
 
 impl Shared {
+    /// Accepts connections at an address; during an outage refuses them, or leaves them hanging.
     async fn accept(
         self: Arc<Self>, front_end: usize, address_index: u32, address: SocketAddr, listener: TcpListener,
     ) {
--- a/scale/src/soak/scenario.rs
+++ b/scale/src/soak/scenario.rs
@@ -20,6 +20,22 @@
 const MAX_DRAINS_PER_OUTAGE: u32 = 2;
 /// Chance that a scenario has failing system calls, and that it has a stepped wall clock.
 const SYSTEM_FAULT_CHANCE: f64 = 0.5;
+/// Chance that a kind of system call fails, in scenarios with failing system calls.
+const FAILING_KIND_CHANCE: f64 = 0.7;
+/// Chance that an outage affects all front ends and not just one.
+const ALL_FRONT_ENDS_CHANCE: f64 = 0.6;
+/// Chance that a crashed worker is removed from the worker list.
+const LISTED_CRASH_CHANCE: f64 = 0.7;
+/// Chance that a restart is a series of signals.
+const SIGNAL_SERIES_CHANCE: f64 = 0.5;
+/// How long a draining worker keeps running, and how long one that drains during an outage does after its end.
+const DRAIN_TIME_S: [f64; 2] = [2.0, 15.0];
+const DRAIN_TIME_AFTER_OUTAGE_S: [f64; 2] = [0.5, 3.0];
+/// Time between the exit of a worker process and the start of the next one, after a drain and after a crash.
+const DRAIN_DOWNTIME_S: [f64; 2] = [0.2, 4.0];
+const CRASH_DOWNTIME_S: [f64; 2] = [0.2, 5.0];
+const HANG_TIME_S: [f64; 2] = [0.3, 6.0];
+const REJECTING_TIME_S: [f64; 2] = [0.5, 5.0];
 
 /// A fault of a scenario.
 ///
@@ -132,7 +148,7 @@
     /// Longest timeout of a client, in milliseconds.
     #[serde(rename = "give_up_ms")]
     pub client_timeout_ms: u64,
-    /// FailureRates of failing system calls in front ends.
+    /// Rates of failing system calls in front ends.
     #[serde(rename = "rates")]
     pub system_call_failures: FailureRates,
     /// Offset of the front ends' wall clocks from the true time at the start, in seconds.
@@ -230,7 +246,6 @@
 
     /// A failure rate for each kind of system call; some are 0.
     fn system_call_failures(&mut self, max_per_mille: u32) -> FailureRates {
-        const FAILING_KIND_CHANCE: f64 = 0.7;
         let mut rates = [0; SYSTEM_CALLS.len()];
         for call in SYSTEM_CALLS.into_iter().filter(|call| *call != SystemCall::WallClock) {
             if self.rng.random_bool(FAILING_KIND_CHANCE) {
@@ -262,7 +277,7 @@
             worker
         };
         add(self, max.outages, &mut |sampler| {
-            let all = sampler.rng.random_bool(0.6);
+            let all = sampler.rng.random_bool(ALL_FRONT_ENDS_CHANCE);
             let one = sampler.rng.random_range(0..front_ends);
             let kinds = [Outage::Refused, Outage::MidEvent, Outage::Silent, Outage::Hanging];
             Fault::Outage {
@@ -283,7 +298,10 @@
         for (outage_start, span) in outages {
             for _ in 0..self.rng.random_range(0..=MAX_DRAINS_PER_OUTAGE) {
                 let delay = self.rng.random_range(0..=span / 2);
-                let (stays, away) = (span - delay + self.duration([0.5, 3.0]), self.duration([0.2, 4.0]));
+                let (stays, away) = (
+                    span - delay + self.duration(DRAIN_TIME_AFTER_OUTAGE_S),
+                    self.duration(DRAIN_DOWNTIME_S),
+                );
                 if let Some(worker) = claim_worker(self) {
                     faults.push((outage_start + delay, Fault::Drain { worker, stays, away }));
                 }
@@ -299,31 +317,31 @@
         add(self, max.drains, &mut |sampler| match claim_worker(sampler) {
             Some(worker) => Fault::Drain {
                 worker,
-                stays: sampler.duration([2.0, 15.0]),
-                away: sampler.duration([0.2, 4.0]),
+                stays: sampler.duration(DRAIN_TIME_S),
+                away: sampler.duration(DRAIN_DOWNTIME_S),
             },
             None => Fault::Resets { worker: sampler.rng.random_range(0..workers) },
         });
         add(self, max.deaths, &mut |sampler| match claim_worker(sampler) {
             Some(worker) => Fault::Death {
                 worker,
-                away: sampler.duration([0.2, 5.0]),
-                listed: sampler.rng.random_bool(0.7),
+                away: sampler.duration(CRASH_DOWNTIME_S),
+                listed: sampler.rng.random_bool(LISTED_CRASH_CHANCE),
             },
             None => Fault::Resets { worker: sampler.rng.random_range(0..workers) },
         });
         add(self, max.hangs, &mut |sampler| Fault::Hang {
             worker: sampler.rng.random_range(0..workers),
-            span: sampler.duration([0.3, 6.0]),
+            span: sampler.duration(HANG_TIME_S),
         });
         add(self, max.resets, &mut |sampler| Fault::Resets { worker: sampler.rng.random_range(0..workers) });
         add(self, max.refusals, &mut |sampler| Fault::Refusals {
             worker: sampler.rng.random_range(0..workers),
-            span: sampler.duration([0.5, 5.0]),
+            span: sampler.duration(REJECTING_TIME_S),
         });
         add(self, max.restarts, &mut |sampler| Fault::Restart {
             front_end: sampler.rng.random_range(0..front_ends),
-            series: sampler.rng.random_bool(0.5),
+            series: sampler.rng.random_bool(SIGNAL_SERIES_CHANCE),
         });
         add(self, max.kills, &mut |sampler| Fault::Kill {
             front_end: sampler.rng.random_range(0..front_ends),
--- a/scale/tests/checker.rs
+++ b/scale/tests/checker.rs
@@ -7,7 +7,7 @@
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Indexes of the classes in `rules`.
+// Indexes of the classes in `rules`.
 const SAFE: usize = 0;
 const DEDUPLICATED: usize = 1;
 const UNSAFE: usize = 2;
@@ -101,7 +101,7 @@
     assert_violation(Rule::Lost, vec![sent(SAFE)], vec![sent(SAFE), cancelled]);
 }
 
-/// A response that was due before SIGKILL or a cancellation is missing even though one of these followed.
+/// A SIGKILL or cancellation does not excuse a response that was already overdue.
 #[test]
 fn a_later_kill_or_cancellation_does_not_excuse_a_missing_response() {
     let latest = 11 * SECOND + 550 * MILLISECOND;
