--- a/scale/tests/slopes.rs
+++ b/scale/tests/slopes.rs
@@ -37,7 +37,7 @@
 #[test]
 fn state_grows_with_functions_no_faster_than_their_calls() {
     let (few, many) = (one_front_end_of_many(500, 100).state, one_front_end_of_many(500, 10_000).state);
-    // The 90 calls a second of 8 s are at most 720 functions.
+    // 90 calls a second for 8 s call at most 720 functions.
     assert!(few.functions <= 100 && many.functions <= 720, "{few:?} {many:?}");
     let bytes_per_function = many.bytes.saturating_sub(few.bytes) / (many.functions - few.functions);
     assert!(bytes_per_function < 5_000, "{bytes_per_function} bytes a function");
