--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs heronslip-policy on the simulator's wire: reads batches on standard input, writes replies on standard
-//! output. It translates and decides nothing.
+//! Runs heronslip-policy behind the simulator's JSON line protocol: reads batches of events from standard
+//! input and writes the resulting actions to standard output. It only translates; all decisions are the
+//! library's.
 #![forbid(unsafe_code)]
 
 use heronslip_policy::json::{as_object, boolean, index_of, millis, number, object, string, unsigned};
@@ -9,11 +10,11 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-type Res<T> = Result<T, String>;
-type Fields = Object;
+/// Result with an error message for standard error.
+type AdapterResult<T> = Result<T, String>;
 
-/// One hosted gateway: its module and the settings, whose names the wire speaks in.
-struct Instance {
+/// A simulated front end. The settings map the names of the protocol to indexes.
+struct FrontEnd {
     controller: Controller,
     settings: Settings,
 }
@@ -28,47 +29,53 @@
     }
 }
 
-fn run() -> Res<()> {
-    let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
-    let mut frame: Option<(Micros, u64)> = None;
+/// Handles batches until the input ends. A batch is a FRAME line with its time and number, one line per
+/// event, and a COMMIT line; the reply is one line per action and a READY line.
+fn run() -> AdapterResult<()> {
+    let mut front_ends: BTreeMap<u64, FrontEnd> = BTreeMap::new();
+    // Time and number of the batch being read.
+    let mut batch: Option<(Micros, u64)> = None;
     let (mut actions, mut reply) = (Vec::new(), String::new());
     let mut output = io::stdout().lock();
-    for (number, line) in io::stdin().lock().lines().enumerate() {
-        let line = line.map_err(|e| format!("line {}: {e}", number + 1))?;
+    for (index, line) in io::stdin().lock().lines().enumerate() {
+        let line_number = index + 1;
+        let line = line.map_err(|e| format!("line {line_number}: {e}"))?;
         if line.trim().is_empty() {
             continue;
         }
-        let (name, fields) = message(&line).map_err(|e| format!("line {}: {e}", number + 1))?;
-        match (name.as_str(), frame) {
+        let (name, fields) = parse_message(&line).map_err(|e| format!("line {line_number}: {e}"))?;
+        match (name.as_str(), batch) {
             ("FRAME", None) => {
                 let read = || Ok((require_micros(&fields, "moment")?, require_unsigned(&fields, "n")?));
-                frame = Some(read().map_err(|e: String| format!("line {}: FRAME: {e}", number + 1))?);
+                batch = Some(read().map_err(|e: String| format!("line {line_number}: FRAME: {e}"))?);
             }
-            ("COMMIT", Some((_, n))) => {
-                write_line(&mut reply, "READY", vec![("n", count(n))]);
-                let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-                sent.map_err(|e| format!("standard output: {e}"))?;
+            ("COMMIT", Some((_, batch_number))) => {
+                write_line(&mut reply, "READY", vec![("n", unsigned_value(batch_number))]);
+                let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+                written.map_err(|e| format!("standard output: {e}"))?;
                 reply.clear();
-                frame = None;
+                batch = None;
             }
             (_, Some((now, _))) => {
-                let wrong = |e: String| format!("line {}: {name}: {e}", number + 1);
-                let gateway = require_unsigned(&fields, "gateway").map_err(wrong)?;
-                event(&mut instances, gateway, now, &name, &fields, &mut actions).map_err(wrong)?;
+                let in_line = |e: String| format!("line {line_number}: {name}: {e}");
+                let front_end_id = require_unsigned(&fields, "gateway").map_err(in_line)?;
+                handle_event(&mut front_ends, front_end_id, now, &name, &fields, &mut actions)
+                    .map_err(in_line)?;
                 for action in actions.drain(..) {
-                    let (name, body) = translate(gateway, action);
+                    let (name, body) = encode_action(front_end_id, action);
                     write_line(&mut reply, name, body);
                 }
             }
-            (_, None) => return Err(format!("line {}: {name} outside a batch", number + 1)),
+            (_, None) => return Err(format!("line {line_number}: {name} outside a batch")),
         }
     }
-    match frame {
-        Some((_, n)) => Err(format!("input ended inside batch {n}")),
+    match batch {
+        Some((_, batch_number)) => Err(format!("input ended inside batch {batch_number}")),
         None => Ok(()),
     }
 }
 
+/// Appends a message to the reply: an object with the name as its only key.
 fn write_line(reply: &mut String, name: &str, body: Vec<(&str, Value)>) {
     let body: Object = body.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
     let mut outer = Object::new();
@@ -77,36 +84,37 @@
     reply.push('\n');
 }
 
-fn message(line: &str) -> Res<(String, Fields)> {
+/// Parses a line into the name and the fields of a message.
+fn parse_message(line: &str) -> AdapterResult<(String, Object)> {
     let Value::Object(outer) = heronslip_policy::json::parse(line)? else {
         return Err("not an object".into());
     };
     if outer.len() != 1 {
-        return Err("not an object with a single key".into());
+        return Err("not an object with exactly one key".into());
     }
     match outer.into_iter().next() {
         Some((name, Value::Object(fields))) => Ok((name, fields)),
-        _ => Err("the message holds no object".into()),
+        _ => Err("the value of the message is not an object".into()),
     }
 }
 
-fn require_unsigned(fields: &Fields, key: &str) -> Res<u64> {
-    unsigned(fields, key).ok_or_else(|| format!("'{key}' is not a whole number"))
+fn require_unsigned(fields: &Object, key: &str) -> AdapterResult<u64> {
+    unsigned(fields, key).ok_or_else(|| format!("'{key}' is not an unsigned integer"))
 }
 
-fn require_string<'a>(fields: &'a Fields, key: &str) -> Res<&'a str> {
-    string(fields, key).ok_or_else(|| format!("'{key}' is not a text"))
+fn require_string<'a>(fields: &'a Object, key: &str) -> AdapterResult<&'a str> {
+    string(fields, key).ok_or_else(|| format!("'{key}' is not a string"))
 }
 
-fn require_micros(fields: &Fields, key: &str) -> Res<Micros> {
+fn require_micros(fields: &Object, key: &str) -> AdapterResult<Micros> {
     number(fields, key).map(|_| millis(fields, key)).ok_or_else(|| format!("'{key}' is not a number"))
 }
 
-fn function(fields: &Fields) -> Res<FunctionId> {
+fn parse_function(fields: &Object) -> AdapterResult<FunctionId> {
     FunctionId::from_str_radix(require_string(fields, "image")?, 16).map_err(|e| format!("'image': {e}"))
 }
 
-fn outcome(fields: &Fields) -> Res<Outcome> {
+fn parse_outcome(fields: &Object) -> AdapterResult<Outcome> {
     Ok(match require_string(fields, "status")? {
         "S" => Outcome::Ok,
         "E" => Outcome::Error,
@@ -121,24 +129,25 @@
     })
 }
 
-fn event(
-    instances: &mut BTreeMap<u64, Instance>, gateway: u64, now: Micros, name: &str, fields: &Fields,
+/// Passes an event to its front end and appends the actions. Events of unknown front ends are ignored.
+fn handle_event(
+    front_ends: &mut BTreeMap<u64, FrontEnd>, front_end_id: u64, now: Micros, name: &str, fields: &Object,
     actions: &mut Vec<Action>,
-) -> Res<()> {
+) -> AdapterResult<()> {
     match name {
         "SPAWN" => {
             let settings = Settings::from_json(object(fields, "conf").ok_or("'conf' is not an object")?);
             let controller = Controller::new(settings.clone(), require_unsigned(fields, "salt")?);
-            instances.insert(gateway, Instance { controller, settings });
+            front_ends.insert(front_end_id, FrontEnd { controller, settings });
             return Ok(());
         }
         "KILLED" => {
-            instances.remove(&gateway);
+            front_ends.remove(&front_end_id);
             return Ok(());
         }
         _ => {}
     }
-    let Some(instance) = instances.get_mut(&gateway) else {
+    let Some(front_end) = front_ends.get_mut(&front_end_id) else {
         return Ok(());
     };
     let event = match name {
@@ -153,14 +162,17 @@
                 Some(Value::Array(elements)) => elements,
                 Some(_) => return Err("'elements' is not an array".into()),
             };
-            let entries = elements.iter().map(|e| entry(instance, e)).collect::<Res<Vec<_>>>()?;
+            let entries = elements
+                .iter()
+                .map(|element| parse_entry(front_end, element))
+                .collect::<AdapterResult<Vec<_>>>()?;
             Event::WorkerList { full: mode != "changes", entries }
         }
         "JOB_IN" => Event::Request {
             id: require_unsigned(fields, "id")?,
-            class: instance.settings.class_index(string(fields, "qos").unwrap_or_default()),
-            tenant: string(fields, "team").and_then(|name| instance.settings.tenant_index(name)),
-            function: function(fields)?,
+            class: front_end.settings.class_index(string(fields, "qos").unwrap_or_default()),
+            tenant: string(fields, "team").and_then(|name| front_end.settings.tenant_index(name)),
+            function: parse_function(fields)?,
             timeout: require_micros(fields, "left")?,
             memory_mb: number(fields, "ram-mb").unwrap_or(0.0),
             lanes: millis(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
@@ -168,7 +180,9 @@
             retry: boolean(fields, "resent"),
         },
         "FINISHED" => {
-            let outcome = outcome(fields)?;
+            let outcome = parse_outcome(fields)?;
+            // The low three bits say whether a copy was loaded, the others count the function's requests
+            // there.
             let note = unsigned(fields, "note").unwrap_or(0);
             let function_inflight = (note >> 3) as u32;
             Event::Outcome {
@@ -184,31 +198,31 @@
                 },
                 function_inflight: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Rejected))
                     .then_some(function_inflight),
-                inflight: object(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
+                inflight: object(fields, "feedback").and_then(|feedback| number(feedback, "busy_reqs")),
             }
         }
         "WITHDRAWN" => Event::Withdrawn { id: require_unsigned(fields, "id")? },
         "ALARM" => Event::Timer { token: require_unsigned(fields, "ctx")? },
         "WARMED" => Event::Loaded {
             worker: require_string(fields, "host")?.to_owned(),
-            function: function(fields)?,
+            function: parse_function(fields)?,
             count: unsigned(fields, "copies").unwrap_or(0).min(1 << 16) as u32,
-            outcome: outcome(fields)?,
+            outcome: parse_outcome(fields)?,
             elapsed: millis(fields, "elapsed"),
         },
         "PONG" => Event::Probed {
             worker: require_string(fields, "host")?.to_owned(),
-            outcome: outcome(fields)?,
-            inflight: object(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
+            outcome: parse_outcome(fields)?,
+            inflight: object(fields, "feedback").and_then(|feedback| number(feedback, "busy_reqs")),
         },
-        "MAIL" | "ACK_FIRST" => return Ok(()), // the module mails and streams nothing
+        "MAIL" | "ACK_FIRST" => return Ok(()), // the controller sends no mail and streams nothing
         _ => return Err("unknown event".into()),
     };
-    instance.controller.handle(now, event, actions);
+    front_end.controller.handle(now, event, actions);
     Ok(())
 }
 
-fn entry(instance: &Instance, value: &Value) -> Res<WorkerEntry> {
+fn parse_entry(front_end: &FrontEnd, value: &Value) -> AdapterResult<WorkerEntry> {
     let fields = as_object(value).ok_or("a list entry is not an object")?;
     Ok(WorkerEntry {
         worker: require_string(fields, "host")?.to_owned(),
@@ -219,37 +233,42 @@
             _ => return Err("'mode' of a list entry is unknown".into()),
         },
         started_at: millis(fields, "started-at"),
-        zone: index_of(&instance.settings.zones, string(fields, "az")),
-        machine_type: index_of(&instance.settings.machine_types, string(fields, "kind")),
+        zone: index_of(&front_end.settings.zones, string(fields, "az")),
+        machine_type: index_of(&front_end.settings.machine_types, string(fields, "kind")),
         cell: unsigned(fields, "cluster").unwrap_or(0),
     })
 }
 
-fn count(n: u64) -> Value {
-    Value::Number(Number::U64(n))
+fn unsigned_value(value: u64) -> Value {
+    Value::Number(Number::U64(value))
 }
 
-fn translate(gateway: u64, action: Action) -> (&'static str, Vec<(&'static str, Value)>) {
-    let ms = |t: Micros| Value::Number(Number::F64(t as f64 / 1000.0));
-    let image = |f: FunctionId| ("image", Value::String(format!("{f:016x}")));
-    let (host, msg) = (|worker| ("host", Value::String(worker)), |text| ("msg", Value::String(text)));
-    let id = |id| ("id", count(id));
+/// Name and fields of the message for an action.
+fn encode_action(front_end_id: u64, action: Action) -> (&'static str, Vec<(&'static str, Value)>) {
+    let ms = |time: Micros| Value::Number(Number::F64(time as f64 / 1000.0));
+    let image = |function: FunctionId| ("image", Value::String(format!("{function:016x}")));
+    let host = |worker| ("host", Value::String(worker));
+    let request = |id| ("id", unsigned_value(id));
     let (name, mut fields) = match action {
-        Action::Send { id: of, worker, timeout } => {
-            ("DELIVER", vec![id(of), host(worker), ("allow-for", ms(timeout))])
+        Action::Send { id, worker, timeout } => {
+            ("DELIVER", vec![request(id), host(worker), ("allow-for", ms(timeout))])
+        }
+        Action::Cancel { id, attempt } => {
+            ("CALL_OFF", vec![request(id), ("hop", unsigned_value(attempt as u64))])
+        }
+        Action::Refuse { id, retry_after } => ("SHED", vec![request(id), ("cool-down", ms(retry_after))]),
+        Action::Fail { id } => ("ABORT", vec![request(id)]),
+        Action::Timer { delay, token } => {
+            ("TIMER", vec![("offset", ms(delay)), ("ctx", unsigned_value(token))])
         }
-        Action::Cancel { id: of, attempt } => ("CALL_OFF", vec![id(of), ("hop", count(attempt as u64))]),
-        Action::Refuse { id: of, retry_after } => ("SHED", vec![id(of), ("cool-down", ms(retry_after))]),
-        Action::Fail { id: of } => ("ABORT", vec![id(of)]),
-        Action::Timer { delay, token } => ("TIMER", vec![("offset", ms(delay)), ("ctx", count(token))]),
         Action::Load { worker, function, count: copies } => {
-            ("START_COPY", vec![host(worker), image(function), ("copies", count(copies.into()))])
+            ("START_COPY", vec![host(worker), image(function), ("copies", unsigned_value(copies.into()))])
         }
         Action::Unload { worker, function } => ("RELEASE_IDLE", vec![host(worker), image(function)]),
         Action::Probe { worker } => ("INSPECT", vec![host(worker)]),
         Action::Subscribe => ("WATCH", vec![("on", Value::Bool(true))]),
-        Action::Log { text } => ("JOURNAL_LINE", vec![msg(text)]),
+        Action::Log { text } => ("JOURNAL_LINE", vec![("msg", Value::String(text))]),
     };
-    fields.push(("gateway", count(gateway)));
+    fields.push(("gateway", unsigned_value(front_end_id)));
     (name, fields)
 }
