--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -100,8 +100,8 @@
     harness.make_warm(7, 1, &["w0", "w1", "w2", "w3"]);
     for id in 2..30 {
         let mut out = harness.request(id, SAFE, 1_000 + id);
-        for w in loads(&out, 0) {
-            out.extend(harness.loaded(&w, 1_000 + id, 1, Outcome::Ok));
+        for worker in loads(&out, 0) {
+            out.extend(harness.loaded(&worker, 1_000 + id, 1, Outcome::Ok));
         }
         assert_eq!(sends(&out).len(), 1);
         assert_eq!(sends(&harness.outcome(id, 0, Outcome::Error, MS)).len(), 1);
@@ -117,8 +117,8 @@
 fn when_most_workers_look_bad_they_are_still_used() {
     let mut harness = Harness::new(settings(), 3);
     harness.make_warm(7, 1, &["w0", "w1", "w2"]);
-    for w in ["w0", "w1"] {
-        harness.loaded(w, 7, 0, Outcome::ConnectFailed);
+    for worker in ["w0", "w1"] {
+        harness.loaded(worker, 7, 0, Outcome::ConnectFailed);
     }
     for id in 2..8 {
         harness.request(id, SAFE, 7);
@@ -126,8 +126,8 @@
     }
     harness.advance(100 * MS);
     let mut out = harness.request(50, SAFE, 9);
-    for w in loads(&out, 0) {
-        out.extend(harness.loaded(&w, 9, 0, Outcome::Timeout));
+    for worker in loads(&out, 0) {
+        out.extend(harness.loaded(&worker, 9, 0, Outcome::Timeout));
     }
     out.extend(harness.advance(SEC));
     assert!(!loads(&out, 1).is_empty(), "a fleet in which every worker looks disconnected is still tried");
@@ -178,18 +178,23 @@
         harness.now += 20 * SEC; // the copies have been unloaded
         for id in 0..12 {
             let mut out = harness.request(id, SAFE, id);
-            for w in loads(&out, 0) {
-                out.extend(harness.loaded(&w, id, 0, Outcome::Ok));
+            for worker in loads(&out, 0) {
+                out.extend(harness.loaded(&worker, id, 0, Outcome::Ok));
             }
-            for w in loads(&out, 1) {
-                harness.loaded(&w, id, u32::from(!fail), if fail { Outcome::Error } else { Outcome::Ok });
+            for worker in loads(&out, 1) {
+                harness.loaded(
+                    &worker,
+                    id,
+                    u32::from(!fail),
+                    if fail { Outcome::Error } else { Outcome::Ok },
+                );
             }
         }
         let mut load_commands = 0;
         for id in 100..130 {
             let mut out = harness.request(id, SAFE, id);
-            for w in loads(&out, 0) {
-                out.extend(harness.loaded(&w, id, 0, Outcome::Ok));
+            for worker in loads(&out, 0) {
+                out.extend(harness.loaded(&worker, id, 0, Outcome::Ok));
             }
             load_commands += loads(&out, 1).len();
         }
@@ -206,23 +211,23 @@
     let mut harness = Harness::new(settings(), 8);
     for id in 0..30 {
         let mut out = harness.request(id, SAFE, id);
-        for w in loads(&out, 0) {
-            out.extend(harness.loaded(&w, id, 0, Outcome::Ok));
+        for worker in loads(&out, 0) {
+            out.extend(harness.loaded(&worker, id, 0, Outcome::Ok));
         }
         let fails = id % 3 == 0;
         if fails {
             harness.feed(Event::Withdrawn { id }); // otherwise another worker would load it
         }
-        for w in loads(&out, 1) {
-            harness.loaded(&w, id, u32::from(!fails), if fails { Outcome::Error } else { Outcome::Ok });
+        for worker in loads(&out, 1) {
+            harness.loaded(&worker, id, u32::from(!fails), if fails { Outcome::Error } else { Outcome::Ok });
         }
         harness.outcome(id, 0, Outcome::Ok, 50 * MS);
     }
     let mut load_commands = 0;
     for id in 100..130 {
         let mut out = harness.request(id, SAFE, id);
-        for w in loads(&out, 0) {
-            out.extend(harness.loaded(&w, id, 0, Outcome::Ok));
+        for worker in loads(&out, 0) {
+            out.extend(harness.loaded(&worker, id, 0, Outcome::Ok));
         }
         load_commands += loads(&out, 1).len();
     }
@@ -248,8 +253,8 @@
     let mut logged = Vec::new();
     for _ in 0..600 {
         let out = harness.advance(20 * MS);
-        for w in loads(&out, 0).into_iter().chain(loads(&out, 1)) {
-            harness.loaded(&w, 7, 1, Outcome::Ok);
+        for worker in loads(&out, 0).into_iter().chain(loads(&out, 1)) {
+            harness.loaded(&worker, 7, 1, Outcome::Ok);
         }
         logged.extend(out.into_iter().filter(|a| matches!(a, Action::Log { .. })));
     }
@@ -345,7 +350,7 @@
 fn a_request_without_an_attempt_is_refused_before_half_its_timeout() {
     let mut harness = Harness::new(settings(), 2);
     let queried = loads(&harness.request(1, SAFE, 7), 0);
-    queried.iter().for_each(|w| drop(harness.loaded(w, 7, 0, Outcome::Ok)));
+    queried.iter().for_each(|worker| drop(harness.loaded(worker, 7, 0, Outcome::Ok)));
     assert!(harness.advance(1_200 * MS).iter().all(|a| !matches!(a, Action::Refuse { .. })));
     assert!(harness.advance(280 * MS).iter().any(|a| matches!(a, Action::Refuse { id: 1, .. })));
 }
@@ -373,7 +378,7 @@
             retry,
         });
         let since = harness.now;
-        loads(&actions, 0).iter().for_each(|w| drop(harness.loaded(w, 7, 0, Outcome::Ok)));
+        loads(&actions, 0).iter().for_each(|worker| drop(harness.loaded(worker, 7, 0, Outcome::Ok)));
         while !harness.advance(20 * MS).iter().any(|a| matches!(a, Action::Refuse { .. })) {}
         harness.now - since
     };
--- a/tests/inside/controller.rs
+++ b/tests/inside/controller.rs
@@ -92,8 +92,8 @@
 #[test]
 fn virtual_loss_chance_matches_calculated_values() {
     // D = 4, lambda = 1, theta = 1.5: z* = 2. Z = 2: (1 + 1.5)/4 * (1 + 3)/3 = 5/6; the least z* is 1.
-    let p = virtual_loss_chance(4, 2, 1.0, 1.5, 2.0, 1.0);
-    assert!((p - 5.0 / 12.0).abs() < 1e-12);
+    let chance = virtual_loss_chance(4, 2, 1.0, 1.5, 2.0, 1.0);
+    assert!((chance - 5.0 / 12.0).abs() < 1e-12);
     // Z = 1: (1 + 1.5)/4 * 1/2.
     assert!((virtual_loss_chance(4, 1, 1.0, 1.5, 2.0, 1.0) - 0.3125).abs() < 1e-12);
     // Z beyond z*: none. One idle copy at theta = 1: certain.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -17,8 +17,8 @@
     let mut harness = Harness::new(settings(), 3);
     harness.request(1, SAFE, 7);
     let mut out = Vec::new();
-    for w in ["w0", "w1", "w2"] {
-        out.extend(harness.loaded(w, 7, 0, Outcome::Ok));
+    for worker in ["w0", "w1", "w2"] {
+        out.extend(harness.loaded(worker, 7, 0, Outcome::Ok));
     }
     let loading = loads(&out, 1);
     assert_eq!(loading.len(), 1);
@@ -30,8 +30,8 @@
 fn a_second_queued_request_does_not_load_the_function_again() {
     let mut harness = Harness::new(settings(), 3);
     harness.request(1, SAFE, 7);
-    for w in ["w0", "w1", "w2"] {
-        harness.loaded(w, 7, 0, Outcome::Ok);
+    for worker in ["w0", "w1", "w2"] {
+        harness.loaded(worker, 7, 0, Outcome::Ok);
     }
     assert!(loads(&harness.request(2, SAFE, 7), 1).is_empty());
 }
@@ -43,8 +43,8 @@
     let mut seen = [0; 4];
     for id in 100..700 {
         let to = sends(&harness.request(id, SAFE, 7));
-        let w: usize = to[0][1..].parse().unwrap();
-        seen[w] += 1;
+        let worker: usize = to[0][1..].parse().unwrap();
+        seen[worker] += 1;
         harness.outcome(id, 0, Outcome::Ok, 50 * MS);
     }
     // 600 random choices among three: 200 each, within four standard deviations.
@@ -112,7 +112,7 @@
         );
         let mut harness = Harness { controller, now: SEC };
         harness.request(1, SAFE, 7);
-        let replies = (0..9).flat_map(|w| harness.loaded(&format!("w{w}"), 7, 0, Outcome::Ok));
+        let replies = (0..9).flat_map(|worker| harness.loaded(&format!("w{worker}"), 7, 0, Outcome::Ok));
         loads(&replies.collect::<Vec<_>>(), 1)
     };
     assert_eq!(load_target(1).len(), 1);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,9 +67,9 @@
         harness.now += wait;
         let again = sends(&harness.outcome(2, 0, Outcome::Error, 50 * MS));
         assert_eq!(again.len(), usize::from(expected), "after {wait}");
-        if let Some(w) = again.first() {
-            let w: usize = w[1..].parse().unwrap();
-            assert!(w != first && w / 2 == first / 2);
+        if let Some(worker) = again.first() {
+            let worker: usize = worker[1..].parse().unwrap();
+            assert!(worker != first && worker / 2 == first / 2);
         }
     }
 }
@@ -102,11 +102,11 @@
         for _ in 0..4 {
             id += 1;
             let out = harness.request(id, SAFE, 7);
-            to_cold += sends(&out).iter().filter(|w| *w == "w2").count();
+            to_cold += sends(&out).iter().filter(|worker| *worker == "w2").count();
             // Every query finds a copy at once, so only the budget limits the calls.
-            for w in loads(&out, 0).into_iter().chain(loads(&out, 1)) {
-                let found = harness.loaded(&w, 7, 1, Outcome::Ok);
-                to_cold += sends(&found).iter().filter(|w| *w == "w2").count();
+            for worker in loads(&out, 0).into_iter().chain(loads(&out, 1)) {
+                let found = harness.loaded(&worker, 7, 1, Outcome::Ok);
+                to_cold += sends(&found).iter().filter(|worker| *worker == "w2").count();
             }
             harness.outcome(id, 0, Outcome::Ok, 50 * MS);
         }
@@ -154,8 +154,11 @@
         }
         // In these three seconds the capacity rises from a fifth to a third: the budget is 4 times 0.27 on
         // average.
-        let n = 4.0 * (0.2 + 0.8 / 18.0 * 1.5) * (3 * SEC) as f64 / service_time as f64;
-        assert!(f64::from(sent) <= n + 2.0 * n.sqrt() + 2.0, "class {class}: {sent} calls of {n:.0}");
+        let budget = 4.0 * (0.2 + 0.8 / 18.0 * 1.5) * (3 * SEC) as f64 / service_time as f64;
+        assert!(
+            f64::from(sent) <= budget + 2.0 * budget.sqrt() + 2.0,
+            "class {class}: {sent} calls of {budget:.0}"
+        );
     }
 }
 
@@ -168,13 +171,13 @@
     for id in 0..40 {
         accepted += 1;
         let mut out = harness.request(id, SAFE, id);
-        for w in loads(&out, 0) {
-            out.extend(harness.loaded(&w, id, 0, Outcome::Ok));
+        for worker in loads(&out, 0) {
+            out.extend(harness.loaded(&worker, id, 0, Outcome::Ok));
         }
-        for w in loads(&out, 1) {
+        for worker in loads(&out, 1) {
             load_commands += 1;
             assert!(f64::from(load_commands) <= 2.0 + 0.1 * f64::from(accepted));
-            harness.loaded(&w, id, 1, Outcome::Ok);
+            harness.loaded(&worker, id, 1, Outcome::Ok);
         }
     }
     assert!(load_commands >= 2);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -42,8 +42,8 @@
 /// Makes `function` warm at all workers that get a copy query for it; returns their number.
 fn warm_all(harness: &mut Harness, id: u64, function: u64) -> usize {
     let queried = loads(&call(harness, id, function, 0), 0);
-    for w in &queried {
-        harness.loaded(w, function, 1, Outcome::Ok);
+    for worker in &queried {
+        harness.loaded(worker, function, 1, Outcome::Ok);
     }
     complete(harness, id, Outcome::Ok, 50 * MS, None);
     queried.len()
@@ -187,9 +187,9 @@
     warm_all(&mut harness, 1, 7);
     let mut to = std::collections::BTreeMap::new();
     for id in 10..130 {
-        let w = sends(&call(&mut harness, id, 7, 0)).remove(0);
-        *to.entry(w.clone()).or_insert(0) += 1;
-        let inflight = if w == "w0" { 30.0 } else { 2.0 };
+        let worker = sends(&call(&mut harness, id, 7, 0)).remove(0);
+        *to.entry(worker.clone()).or_insert(0) += 1;
+        let inflight = if worker == "w0" { 30.0 } else { 2.0 };
         complete(&mut harness, id, Outcome::Ok, 50 * MS, Some(inflight));
         harness.advance(SEC);
     }
@@ -203,9 +203,9 @@
     warm_all(&mut harness, 1, 7);
     let mut slow = 0;
     for id in 10..130 {
-        let w = sends(&call(&mut harness, id, 7, 0)).remove(0);
-        slow += usize::from(w == "w0");
-        let elapsed = if w == "w0" { 250 * MS } else { 100 * MS };
+        let worker = sends(&call(&mut harness, id, 7, 0)).remove(0);
+        slow += usize::from(worker == "w0");
+        let elapsed = if worker == "w0" { 250 * MS } else { 100 * MS };
         complete(&mut harness, id, Outcome::Ok, elapsed, None);
         harness.advance(SEC / 4);
     }
@@ -331,14 +331,14 @@
 #[test]
 fn trial_requests_to_suspects_are_few_where_calls_are_few() {
     let mut harness = Harness::new(many_front_ends(100), 12);
-    let unhealthy = |w: &str| ["w0", "w1", "w2"].contains(&w);
+    let unhealthy = |worker: &str| ["w0", "w1", "w2"].contains(&worker);
     warm_all(&mut harness, 1, 7);
     let mut lost = 0;
     for id in 10..410 {
-        let w = sends(&call(&mut harness, id, 7, 0)).remove(0);
-        lost += usize::from(unhealthy(&w));
-        let outcome = if unhealthy(&w) { Outcome::Timeout } else { Outcome::Ok };
-        complete(&mut harness, id, outcome, if unhealthy(&w) { 900 * MS } else { 50 * MS }, Some(1.0));
+        let worker = sends(&call(&mut harness, id, 7, 0)).remove(0);
+        lost += usize::from(unhealthy(&worker));
+        let outcome = if unhealthy(&worker) { Outcome::Timeout } else { Outcome::Ok };
+        complete(&mut harness, id, outcome, if unhealthy(&worker) { 900 * MS } else { 50 * MS }, Some(1.0));
         harness.feed(Event::Withdrawn { id });
         harness.advance(SEC / 8);
     }
