--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -1,4 +1,5 @@
-//! What a front end is told at its start: environment, NODE_CONFIG and the file of the KServe v2 front.
+//! The start configuration: environment variables, the file NODE_CONFIG names, and the file of the KServe v2
+//! server.
 use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
@@ -8,53 +9,54 @@
 use std::io::Read as _;
 use std::net::SocketAddr;
 
-/// Bytes of a configuration beside the events under `known` that are read at most: far more than settings take.
-const MOST_OUTSIDE: usize = 16 * 1024 * 1024;
-/// Bytes of it that are read at a time.
-const PIECE: usize = 16 * 1024;
-/// An entry of the list in our own configuration may be of any sane size, and there may be any number.
-const KNOWN_BOUNDS: EventBounds = EventBounds { entry_bytes: 64 * 1024, entries: usize::MAX };
+/// Maximum bytes of a configuration without the events under `known`, far more than settings take.
+const MAX_SETTINGS_BYTES: usize = 16 * 1024 * 1024;
+/// Bytes of the configuration that are read at a time.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bounds of the events under `known`. They come from this process's own configuration, so their number is
+/// not limited.
+const INITIAL_EVENT_BOUNDS: EventBounds = EventBounds { entry_bytes: 64 * 1024, entries: usize::MAX };
 
 /// The start configuration.
 pub struct Config {
     /// The front end's name.
     pub name: String,
-    /// Where FastCGI clients connect.
+    /// The address of the FastCGI listener.
     pub listen: SocketAddr,
-    /// Address of the notice board, if there is one.
-    pub board: Option<SocketAddr>,
-    /// The board's events up to now, oldest first.
-    pub known: Vec<Result<ListEvent, EventError>>,
-    /// The number of the last of them.
-    pub known_to: u64,
+    /// The address of the discovery service, if there is one.
+    pub discovery_address: Option<SocketAddr>,
+    /// The discovery service's events up to the start, oldest first.
+    pub initial_events: Vec<Result<ListEvent, EventError>>,
+    /// The number of the last of these events.
+    pub last_initial_event: u64,
     /// Seed of the random numbers.
     pub seed: u64,
     /// The settings of the deployment.
     pub settings: Settings,
     /// All limits.
     pub limits: Limits,
-    /// The KServe v2 front, where it is on.
-    pub kserve: Option<Kserve>,
+    /// The KServe v2 server, if it is enabled.
+    pub kserve: Option<KserveConfig>,
 }
 
-/// The KServe v2 front's file.
-pub struct Kserve {
-    /// Where v2 clients connect.
+/// The configuration file of the KServe v2 server.
+pub struct KserveConfig {
+    /// The address of the KServe v2 listener.
     pub listen: SocketAddr,
-    /// Where the read-only administration API listens, if it is wanted.
+    /// The address of the read-only administration API, if it is enabled.
     pub admin: Option<SocketAddr>,
-    /// v2 workers, as an xDS discovery response of endpoints (ClusterLoadAssignment resources).
+    /// KServe v2 workers, as an xDS discovery response of endpoints (ClusterLoadAssignment resources).
     pub endpoints: Option<Object>,
 }
 
-type Read<T> = Result<T, String>;
+type ConfigResult<T> = Result<T, String>;
 
-fn file(path: &str) -> Read<Object> {
+fn read_object(path: &str) -> ConfigResult<Object> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    fields(path, &text)
+    parse_object(path, &text)
 }
 
-fn fields(path: &str, text: &str) -> Read<Object> {
+fn parse_object(path: &str, text: &str) -> ConfigResult<Object> {
     match parse(text) {
         Ok(Value::Object(fields)) => Ok(fields),
         Ok(_) => Err(format!("{path}: not a JSON object")),
@@ -62,45 +64,46 @@
     }
 }
 
-/// Reads a configuration piece by piece: all but the events under `known`, whose bytes go to `event` with the place
-/// of each. So a list of many workers is never held as text or as JSON.
-fn configuration(path: &str, mut event: impl FnMut(Place, u8)) -> Read<Object> {
-    let told = |e: std::io::Error| format!("{path}: {e}");
-    let broken = |e: ScanError| format!("{path}: {e}");
-    let mut file = std::fs::File::open(path).map_err(told)?;
-    let mut scanner = ArrayScanner::new(["known", "notices"], MOST_OUTSIDE);
-    let mut piece = vec![0; PIECE];
+/// Reads a configuration in chunks and returns all but the events under `known`. Their bytes go to
+/// `event_byte`, each with its place, so that a list of many workers is never in memory as text or JSON.
+fn read_configuration(path: &str, mut event_byte: impl FnMut(Place, u8)) -> ConfigResult<Object> {
+    let io_error = |e: std::io::Error| format!("{path}: {e}");
+    let scan_error = |e: ScanError| format!("{path}: {e}");
+    let mut file = std::fs::File::open(path).map_err(io_error)?;
+    let mut scanner = ArrayScanner::new(["known", "notices"], MAX_SETTINGS_BYTES);
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     loop {
-        let read = match file.read(&mut piece) {
+        let read = match file.read(&mut chunk) {
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
-            read => read.map_err(told)?,
+            read => read.map_err(io_error)?,
         };
         if read == 0 {
             break;
         }
-        for &byte in &piece[..read] {
-            match scanner.byte(byte).map_err(broken)? {
+        for &byte in &chunk[..read] {
+            match scanner.byte(byte).map_err(scan_error)? {
                 Place::Outside => {}
-                place => event(place, byte),
+                place => event_byte(place, byte),
             }
         }
     }
-    let rest = String::from_utf8(scanner.finish().map_err(broken)?).map_err(|e| format!("{path}: {e}"))?;
-    fields(path, &rest)
+    let rest =
+        String::from_utf8(scanner.finish().map_err(scan_error)?).map_err(|e| format!("{path}: {e}"))?;
+    parse_object(path, &rest)
 }
 
-/// The events under `known`, as their bytes come.
-struct KnownEvents {
+/// Reads the events under `known` byte by byte.
+struct InitialEvents {
     done: Vec<Result<ListEvent, EventError>>,
     reader: EventReader,
     event: ListEvent,
     error: Option<EventError>,
 }
 
-impl KnownEvents {
+impl InitialEvents {
     fn new() -> Self {
         let event = ListEvent { full: false, entries: Vec::new() };
-        KnownEvents { done: Vec::new(), reader: EventReader::new(KNOWN_BOUNDS), event, error: None }
+        InitialEvents { done: Vec::new(), reader: EventReader::new(INITIAL_EVENT_BOUNDS), event, error: None }
     }
 
     fn byte(&mut self, place: Place, byte: u8) {
@@ -111,7 +114,8 @@
             }
         }
         if place != Place::Inside {
-            let KnownEvents { mut done, reader, event, error } = std::mem::replace(self, KnownEvents::new());
+            let InitialEvents { mut done, reader, event, error } =
+                std::mem::replace(self, InitialEvents::new());
             let full = error.map_or_else(|| reader.finish(), Err);
             done.push(full.map(|full| ListEvent { full, ..event }));
             self.done = done;
@@ -119,38 +123,40 @@
     }
 }
 
-fn address(fields: &Object, key: &str) -> Read<Option<SocketAddr>> {
+fn address(fields: &Object, key: &str) -> ConfigResult<Option<SocketAddr>> {
     let parse = |t: &str| t.parse().map_err(|_| format!("'{key}' is not HOST:PORT: {t}"));
     fields.get(key).and_then(as_text).map(parse).transpose()
 }
 
 impl Config {
-    /// Reads the variables NODE_CONFIG, NODE_NAME, NODE_LISTEN and HERONSLIP_KSERVE.
-    pub fn from_environment() -> Read<Config> {
+    /// Reads the configuration from the variables NODE_CONFIG, NODE_NAME, NODE_LISTEN and HERONSLIP_KSERVE
+    /// and the files they name.
+    pub fn from_environment() -> ConfigResult<Config> {
         let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-        let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG names no file")?;
-        let mut known = KnownEvents::new();
-        let fields = configuration(&path, |place, byte| known.byte(place, byte))?;
-        let mut config = Config::read(&fields, variable("NODE_LISTEN"), variable("NODE_NAME"))?;
-        config.known = known.done;
-        // Off on the platform: only an environment that names the file turns the v2 front on.
+        let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG is not set")?;
+        let mut initial_events = InitialEvents::new();
+        let fields = read_configuration(&path, |place, byte| initial_events.byte(place, byte))?;
+        let mut config = Config::from_fields(&fields, variable("NODE_LISTEN"), variable("NODE_NAME"))?;
+        config.initial_events = initial_events.done;
+        // The platform leaves this unset: the KServe v2 server is off unless the environment names its file.
         if let Some(path) = variable("HERONSLIP_KSERVE") {
-            config.kserve = Some(Kserve::read(&path)?);
+            config.kserve = Some(KserveConfig::read(&path)?);
         }
         Ok(config)
     }
 
-    /// The board's address as NODE_CONFIG tells it now; all else in the file holds from start to end.
-    pub fn board_now() -> Read<SocketAddr> {
+    /// Reads the discovery service's address from the file NODE_CONFIG names. This is the only part of the
+    /// file that may change while the process runs.
+    pub fn read_discovery_address() -> ConfigResult<SocketAddr> {
         let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-        address(&configuration(&path, |_, _| ())?, "board")?.ok_or(format!("{path}: no 'board'"))
+        address(&read_configuration(&path, |_, _| ())?, "board")?.ok_or(format!("{path}: no 'board'"))
     }
 
-    fn read(fields: &Object, listen: Option<String>, name: Option<String>) -> Read<Config> {
+    fn from_fields(fields: &Object, listen: Option<String>, name: Option<String>) -> ConfigResult<Config> {
         let empty = Object::new();
         let part = |key: &str| part(fields, key).unwrap_or(&empty);
         let settings = Settings::from_json(part("settings"));
-        let limit = |key: &str, other: f64| number(part("limits"), key).unwrap_or(other) as u64;
+        let limit = |key: &str, default: f64| number(part("limits"), key).unwrap_or(default) as u64;
         let listen = match listen {
             Some(l) => Some(l.parse().map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?),
             None => address(fields, "listen")?,
@@ -158,11 +164,12 @@
         let seed = text(fields, "seed").unwrap_or("0");
         Ok(Config {
             name: name.or(text(fields, "name").map(str::to_owned)).unwrap_or_default(),
-            listen: listen.ok_or("no address to listen on")?,
-            board: address(fields, "board")?,
-            known: Vec::new(),
-            known_to: whole(part("known"), "rev").unwrap_or(0),
-            seed: u64::from_str_radix(seed, 16).map_err(|_| format!("'seed' is not hex: {seed}"))?,
+            listen: listen.ok_or("no address to listen on: neither NODE_LISTEN nor 'listen' is set")?,
+            discovery_address: address(fields, "board")?,
+            initial_events: Vec::new(),
+            last_initial_event: whole(part("known"), "rev").unwrap_or(0),
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| format!("'seed' is not a hexadecimal number: {seed}"))?,
             limits: Limits::new(limit("memory_mb", 192.0), limit("sockets", 1024.0), &settings),
             settings,
             kserve: None,
@@ -170,17 +177,17 @@
     }
 }
 
-impl Kserve {
-    fn read(path: &str) -> Read<Kserve> {
-        let fields = file(path)?;
+impl KserveConfig {
+    fn read(path: &str) -> ConfigResult<KserveConfig> {
+        let fields = read_object(path)?;
         let endpoints = match text(&fields, "endpoints") {
-            Some(beside) => {
+            Some(relative_path) => {
                 let folder = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
-                Some(file(&folder.join(beside).to_string_lossy())?)
+                Some(read_object(&folder.join(relative_path).to_string_lossy())?)
             }
             None => None,
         };
         let listen = address(&fields, "listen")?.ok_or(format!("{path}: no 'listen'"))?;
-        Ok(Kserve { listen, admin: address(&fields, "admin")?, endpoints })
+        Ok(KserveConfig { listen, admin: address(&fields, "admin")?, endpoints })
     }
 }
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -1,53 +1,63 @@
-//! The one thread that owns the decision module. Fronts, transports and discovery reach it through its
-//! queue only; it knows requests, attempts, outcomes and members, and no wire.
+//! The core: one thread that owns the decision controller and the state of all open requests.
+//!
+//! Client protocol servers, worker transports and discovery reach it only through its queue of [`Message`]s.
+//! It knows requests, attempts, outcomes and workers, but no wire format.
 mod clock;
-mod peers;
 mod start_times;
 mod timers;
+mod worker_pool;
 
 pub use clock::Clock;
 
 use crate::limits::Limits;
-use crate::messages::{Answer, AttemptKey, Client, Member, Message, Report, Request, Speech};
+use crate::messages::{
+    AttemptKey, AttemptReport, Client, ListedWorker, Message, Request, Response, WorkerProtocol,
+};
 use crate::worker::{transport, Reports};
-use heronslip_policy::{Action, Controller, Effect, Entry, Event, Micros, Outcome, Settings, WorkerState};
+use heronslip_policy::{
+    Action, Controller, Effect, Entry, Event, FunctionId, Micros, Outcome, Settings, WorkerState,
+};
 use miniserde::json::{self, Number, Object, Value};
-use peers::{one_at_an_address, Peer, Peers};
 use start_times::StartTimes;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::time::Instant;
-use timers::{Due, Timers};
-
-const SWEEP: Micros = 1_000_000; // period in which idle connections are looked for
-
-/// Of the connections to workers one in so many is closed at a time where all are in use.
-const MAKE_WAY_PART: usize = 32;
-/// Workers of one event that get a line of the log each; of the others their number is told.
-const MEMBERS_LOGGED: usize = 16;
-const LATE: Micros = 20_000; // more than an answer's margin: worth a line in the log
-
-/// What other parts may read of the core without asking it.
+use timers::{Timer, Timers};
+use worker_pool::{keep_one_per_address, Worker, WorkerPool};
+
+/// How often idle worker connections and removed workers are cleaned up.
+const SWEEP_INTERVAL: Micros = 1_000_000;
+/// Further messages that are handled before the timers are looked at.
+const MAX_MESSAGES_BEFORE_TIMERS: usize = 256;
+/// When the limit on worker connections is reached, this fraction (1/32) of the limit is closed at a time.
+const IDLE_EVICTION_DIVISOR: usize = 32;
+/// Changed workers that are logged one by one for each list update; only the number of the others is logged.
+const MAX_LOGGED_WORKERS: usize = 16;
+/// Timers that fire later than this are logged.
+const LATE_TIMER_LOG_THRESHOLD: Micros = 20_000;
+
+/// State of the core that other threads may read directly.
 #[derive(Default)]
-pub struct Shared {
-    /// Requests taken and not answered.
-    pub open: AtomicUsize,
-    /// Whether the core runs and has been told the list of workers.
+pub struct SharedState {
+    /// Requests accepted and not finished.
+    pub open_requests: AtomicUsize,
+    /// Whether the core runs and has received a worker list.
     pub ready: AtomicBool,
-    /// Set late in a planned end: the program may be killed before what comes from then on could be served.
-    pub ending: AtomicBool,
+    /// Set late in a graceful shutdown, when the process may be killed before a new request could be served:
+    /// new requests are refused at once.
+    pub refuses_requests: AtomicBool,
 }
 
 struct Attempt {
     worker: String,
-    sent: Micros,
+    sent_at: Micros,
     open: bool,
 }
 
-/// A request from its arrival until its answer is given and all its attempts have ended.
-struct Open {
+/// A request from its arrival until it has its response and all its attempts have ended.
+struct OpenRequest {
     request: Arc<Request>,
     client: Arc<dyn Client>,
     tag: u64,
@@ -56,168 +66,188 @@
     attempts: Vec<Attempt>,
 }
 
+/// A load command or copy query that waits for its reply.
+struct LoadCommand {
+    worker: String,
+    function: FunctionId,
+    sent_at: Micros,
+}
+
 #[derive(Clone, Default)]
-struct Counts {
-    asked: u64,
+struct TenantCounters {
+    received: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    withdrawn: u64,
+    cancelled: u64,
 }
 
-/// How an attempt or a probe ended, in words.
-fn reason(outcome: Outcome) -> &'static str {
+/// How an attempt or a probe ended, for the log.
+fn describe(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
-        Outcome::Error => "answered with an error",
-        Outcome::Full => "turned away",
-        Outcome::Timeout => "no answer in time",
-        Outcome::ConnectFailed => "no connection",
-        Outcome::Reset => "its connection ended",
-        Outcome::Cancelled => "called off",
+        Outcome::Error => "the worker replied with an error",
+        Outcome::Full => "rejected by the worker",
+        Outcome::Timeout => "timed out",
+        Outcome::ConnectFailed => "connection failed",
+        Outcome::Reset => "connection lost",
+        Outcome::Cancelled => "cancelled",
         Outcome::Moot => "not sent",
-        Outcome::Miss => "the function is not loaded there",
+        Outcome::Miss => "the function is not loaded at the worker",
     }
 }
 
-/// The owner thread's state.
+/// The state of the core's thread.
 pub struct Core {
     controller: Controller,
     settings: Settings,
     limits: Arc<Limits>,
     clock: Clock,
-    queue: Receiver<Message>,
+    inbox: Receiver<Message>,
     reports: Reports,
-    shared: Arc<Shared>,
-    last: u64,
-    /// When connections to workers were last looked at.
-    pulsed: Micros,
-    requests: HashMap<u64, Open>,
-    by_client: BTreeMap<(u64, u64), u64>,
-    /// The ids that clients gave, of requests that are owed an answer.
-    wire_ids: HashSet<u64>,
-    peers: Peers,
-    orders: HashMap<u64, (String, u64, Micros)>,
-    /// The probes that are out, and the workers that they went to.
+    shared: Arc<SharedState>,
+    /// Last number given to a request, load command or probe.
+    last_id: u64,
+    last_liveness_check: Micros,
+    requests: HashMap<u64, OpenRequest>,
+    /// Ids of unanswered requests by client connection and tag.
+    requests_by_client: BTreeMap<(u64, u64), u64>,
+    /// Wire ids of unanswered requests.
+    open_wire_ids: HashSet<u64>,
+    workers: WorkerPool,
+    load_commands: HashMap<u64, LoadCommand>,
+    /// Worker of each open probe.
     probes: HashMap<u64, String>,
     timers: Timers,
+    /// Events that the controller has not handled yet.
     events: VecDeque<Event>,
-    counts: Vec<Counts>,
+    /// By tenant; the last entry counts requests without a tenant.
+    tenant_counters: Vec<TenantCounters>,
 }
 
 impl Core {
-    /// A core that knows nothing yet.
+    /// Creates a core that knows no workers yet.
     pub fn new(
-        settings: Settings, seed: u64, limits: Arc<Limits>, queue: Receiver<Message>, reports: Reports,
-        shared: Arc<Shared>,
+        settings: Settings, seed: u64, limits: Arc<Limits>, inbox: Receiver<Message>, reports: Reports,
+        shared: Arc<SharedState>,
     ) -> Self {
-        let counts = vec![Counts::default(); settings.tenants.len() + 1];
+        let tenant_counters = vec![TenantCounters::default(); settings.tenants.len() + 1];
         Core {
             controller: Controller::new(settings.clone(), seed),
             settings,
             limits,
             clock: Clock::start(),
-            queue,
+            inbox,
             reports,
             shared,
-            last: 0,
-            pulsed: 0,
+            last_id: 0,
+            last_liveness_check: 0,
             requests: HashMap::new(),
-            by_client: BTreeMap::new(),
-            wire_ids: HashSet::new(),
-            peers: Peers::default(),
-            orders: HashMap::new(),
+            requests_by_client: BTreeMap::new(),
+            open_wire_ids: HashSet::new(),
+            workers: WorkerPool::default(),
+            load_commands: HashMap::new(),
             probes: HashMap::new(),
             timers: Timers::default(),
             events: VecDeque::new(),
-            counts,
+            tenant_counters,
         }
     }
 
-    /// Runs until every sender of the queue is gone.
+    /// Handles messages and timers until all senders of the queue are dropped.
     pub fn run(mut self) {
-        self.timers.set(self.clock.now() + SWEEP, Due::Sweep);
-        self.timers.set(self.clock.now() + self.limits.link_check, Due::Pulse);
+        self.timers.schedule(self.clock.now() + SWEEP_INTERVAL, Timer::Sweep);
+        self.timers.schedule(self.clock.now() + self.limits.liveness_poll_interval, Timer::LivenessCheck);
         loop {
-            match self.queue.recv_timeout(self.timers.wait(self.clock.now())) {
+            match self.inbox.recv_timeout(self.timers.time_to_next(self.clock.now())) {
                 Ok(message) => {
-                    self.take(message);
-                    // What else has come in is taken before timers: an answer that is here beats its time-out.
-                    for _ in 0..256 {
-                        let Ok(message) = self.queue.try_recv() else { break };
-                        self.take(message);
+                    self.handle_message(message);
+                    // Queued messages go before timers: a reply that has arrived wins over its timeout.
+                    for _ in 0..MAX_MESSAGES_BEFORE_TIMERS {
+                        let Ok(message) = self.inbox.try_recv() else { break };
+                        self.handle_message(message);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
-            let late = self.timers.late(now);
-            if late > LATE {
-                // Tells a starved machine from a fault of ours: answers owed in that time may have come late.
-                note!("core: ran {} ms late, {} requests open", late / 1000, self.requests.len());
+            let lateness = self.timers.lateness(now);
+            if lateness > LATE_TIMER_LOG_THRESHOLD {
+                // Distinguishes a starved machine from a fault of this program: responses due in that time
+                // may be late.
+                log_limited!(
+                    "core: timers are {} ms late with {} open requests; responses may be late",
+                    lateness / 1000,
+                    self.requests.len()
+                );
             }
-            while let Some(due) = self.timers.due(self.clock.now()) {
-                self.due(due);
-                self.decide();
+            while let Some(timer) = self.timers.pop_due(self.clock.now()) {
+                self.handle_timer(timer);
+                self.run_controller();
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Request(request, client, tag) => self.request(request, client, tag),
-            Message::Withdrawn(connection, tag) => {
-                if let Some(&id) = self.by_client.get(&(connection, tag)) {
-                    self.withdrawn(id);
+            Message::Request { request, client, tag } => self.accept_request(request, client, tag),
+            Message::RequestCancelled { connection, tag } => {
+                if let Some(&id) = self.requests_by_client.get(&(connection, tag)) {
+                    self.cancel_request(id);
                 }
             }
-            Message::Hangup(connection) => {
-                let of = (connection, 0)..=(connection, u64::MAX);
-                let ids: Vec<u64> = self.by_client.range(of).map(|(_, &id)| id).collect();
-                ids.into_iter().for_each(|id| self.withdrawn(id));
+            Message::ClientDisconnected { connection } => {
+                let all_tags = (connection, 0)..=(connection, u64::MAX);
+                let ids: Vec<u64> = self.requests_by_client.range(all_tags).map(|(_, &id)| id).collect();
+                ids.into_iter().for_each(|id| self.cancel_request(id));
             }
-            Message::Ended(key, report) => self.ended(key, report),
-            Message::Ordered(order, outcome, copies) => self.ordered(order, outcome, copies),
-            Message::Probed(probe, outcome, inflight) => self.probed(probe, outcome, inflight),
+            Message::AttemptEnded { key, report } => self.attempt_ended(key, report),
+            Message::LoadEnded { command, outcome, copies } => self.load_ended(command, outcome, copies),
+            Message::ProbeEnded { probe, outcome, inflight } => self.probe_ended(probe, outcome, inflight),
             Message::Discovery(state) => self.events.push_back(Event::Discovery { state }),
-            Message::Members { source, full, members } => self.members(source, full, members),
-            Message::Inspect(reply) => {
-                let _ = reply.send(self.inspect()); // who asked may have left
+            Message::WorkerList { source, full, workers } => self.update_worker_list(source, full, workers),
+            Message::Inspect { reply } => {
+                let _ = reply.send(self.state_json()); // the requester may be gone
             }
         }
-        self.decide();
+        self.run_controller();
     }
 
-    fn request(&mut self, mut request: Request, client: Arc<dyn Client>, tag: u64) {
-        let _reading = request.reading.take(); // until it is counted as open, or answered
-        if self.shared.ending.load(Ordering::Acquire) {
-            return client.answer(tag, Answer::Refused { wait: self.settings.max_retry_after / 2 });
+    fn accept_request(&mut self, mut request: Request, client: Arc<dyn Client>, tag: u64) {
+        let _incoming = request.incoming.take(); // until the request is counted as open, or answered
+        if self.shared.refuses_requests.load(Ordering::Acquire) {
+            return client.respond(tag, Response::Refused { retry_after: self.settings.max_retry_after / 2 });
         }
         let class = self.settings.class(&request.class);
         let tenant = self.settings.tenant(&request.tenant);
-        let known = self.settings.classes.get(class);
-        // Guards keyed work: without its key no worker could drop a repeat.
-        let keyed = known.is_some_and(|c| c.effect == Effect::Keyed);
-        let fault = match () {
-            () if known.is_none() => Some("unknown class"),
+        let class_settings = self.settings.classes.get(class);
+        // Without its idempotency key no worker could drop a duplicate of a keyed request.
+        let keyed = class_settings.is_some_and(|c| c.effect == Effect::Keyed);
+        let error = match () {
+            () if class_settings.is_none() => Some("unknown class"),
             () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
-            () if keyed && request.token.is_none() => Some("keyed class without a key"),
-            // Guards the one that is open: a worker would be asked for two bodies under one id.
-            () if self.wire_ids.contains(&request.wire_id) => Some("a request of this id is open"),
+            () if keyed && request.idempotency_key.is_none() => {
+                Some("missing idempotency key in a keyed class")
+            }
+            // Two open requests with one id could not be told apart at a worker.
+            () if self.open_wire_ids.contains(&request.wire_id) => {
+                Some("another request with this id is still open")
+            }
             () => None,
         };
-        if let Some(fault) = fault {
-            note!("request {:016x}: failed, {fault}", request.wire_id);
-            return client.answer(tag, Answer::Failed);
+        if let Some(error) = error {
+            log_limited!("request {:016x}: failed: {error}", request.wire_id);
+            return client.respond(tag, Response::Failed);
         }
-        // Guards memory and a planned end: a request's timers stay for as long as its client is said to wait.
-        let most = known.map(|c| c.give_up).filter(|&span| span > 0);
-        request.wait = request.wait.min(most.unwrap_or(request.wait));
-        self.last += 1;
-        let id = self.last;
+        // A request's timers stay for its whole wait. This bounds their memory and the time of a graceful
+        // shutdown.
+        let max_wait = class_settings.map(|c| c.give_up).filter(|&span| span > 0);
+        request.wait = request.wait.min(max_wait.unwrap_or(request.wait));
+        self.last_id += 1;
+        let id = self.last_id;
         let now = self.clock.now();
-        let left = self.left(now, &request);
+        let left = self.remaining_wait(now, &request);
         self.events.push_back(Event::Request {
             id,
             class,
@@ -227,100 +257,101 @@
             memory_mb: request.memory_mb,
             lanes: request.lanes,
             load_time: request.load_time,
-            retry: request.retry,
+            retry: request.is_retry,
         });
-        self.by_client.insert((client.connection(), tag), id);
-        self.wire_ids.insert(request.wire_id);
-        self.shared.open.fetch_add(1, Ordering::AcqRel);
-        self.count(tenant).asked += 1;
-        // The module ends each request in time; this guards the promise should it not.
-        self.timers.set(now.saturating_add(left), Due::Request(id));
+        self.requests_by_client.insert((client.connection_id(), tag), id);
+        self.open_wire_ids.insert(request.wire_id);
+        self.shared.open_requests.fetch_add(1, Ordering::AcqRel);
+        self.counters(tenant).received += 1;
+        // The controller ends each request in time; this timer answers it if the controller does not.
+        self.timers.schedule(now.saturating_add(left), Timer::RequestDeadline(id));
         let (request, answered, attempts) = (Arc::new(request), false, Vec::new());
-        self.requests.insert(id, Open { request, client, tag, tenant, answered, attempts });
+        self.requests.insert(id, OpenRequest { request, client, tag, tenant, answered, attempts });
     }
 
-    /// What is left of a client's wait, less what its answer may need. Guards against answers lost to a
-    /// machine that stands still for some tens of milliseconds just before a client leaves.
-    fn left(&self, now: Micros, request: &Request) -> Micros {
-        let past = now.saturating_sub(self.clock.at(request.read_at));
-        request.wait.saturating_sub(past + self.limits.margin(request.wait))
+    /// The rest of a client's wait, less the time reserved for sending the response. The reserve keeps
+    /// responses from being lost when the machine stalls for some tens of milliseconds just before the client
+    /// gives up.
+    fn remaining_wait(&self, now: Micros, request: &Request) -> Micros {
+        let elapsed = now.saturating_sub(self.clock.at(request.received_at));
+        request.wait.saturating_sub(elapsed + self.limits.response_margin(request.wait))
     }
 
-    fn count(&mut self, tenant: Option<usize>) -> &mut Counts {
-        let last = self.counts.len() - 1;
-        &mut self.counts[tenant.unwrap_or(last).min(last)]
+    fn counters(&mut self, tenant: Option<usize>) -> &mut TenantCounters {
+        let last = self.tenant_counters.len() - 1;
+        &mut self.tenant_counters[tenant.unwrap_or(last).min(last)]
     }
 
-    fn withdrawn(&mut self, id: u64) {
-        if self.close(id).is_some() {
+    fn cancel_request(&mut self, id: u64) {
+        if self.close_request(id).is_some() {
             self.events.push_back(Event::Withdrawn { id });
-            self.decide();
-            self.forget(id);
+            self.run_controller();
+            self.remove_if_finished(id);
         }
     }
 
-    /// Ends what is owed for a request; `None` if that was over already.
-    fn close(&mut self, id: u64) -> Option<(Arc<dyn Client>, u64, Option<usize>)> {
+    /// Marks a request as answered, and returns where its response goes; `None` if it was answered before.
+    fn close_request(&mut self, id: u64) -> Option<(Arc<dyn Client>, u64, Option<usize>)> {
         let open = self.requests.get_mut(&id).filter(|o| !o.answered)?;
         open.answered = true;
         let (client, tag, tenant) = (open.client.clone(), open.tag, open.tenant);
-        self.wire_ids.remove(&open.request.wire_id);
-        self.by_client.remove(&(client.connection(), tag));
+        self.open_wire_ids.remove(&open.request.wire_id);
+        self.requests_by_client.remove(&(client.connection_id(), tag));
         Some((client, tag, tenant))
     }
 
-    /// The one final answer; a second one goes nowhere.
-    fn answer(&mut self, id: u64, answer: Answer) {
-        let Some((client, tag, tenant)) = self.close(id) else { return };
-        let counts = self.count(tenant);
-        match &answer {
-            Answer::Served(_) => counts.served += 1,
-            Answer::Refused { .. } => counts.refused += 1,
-            Answer::Failed => counts.failed += 1,
+    /// Sends the final response. A second response to the same request is dropped.
+    fn respond(&mut self, id: u64, response: Response) {
+        let Some((client, tag, tenant)) = self.close_request(id) else { return };
+        let counters = self.counters(tenant);
+        match &response {
+            Response::Served(_) => counters.served += 1,
+            Response::Refused { .. } => counters.refused += 1,
+            Response::Failed => counters.failed += 1,
         }
-        client.answer(tag, answer);
+        client.respond(tag, response);
     }
 
-    /// Drops a request's record once nothing of it is open.
-    fn forget(&mut self, id: u64) {
+    /// Removes a request that is answered and has no open attempt.
+    fn remove_if_finished(&mut self, id: u64) {
         if self.requests.get(&id).is_some_and(|o| o.answered && !o.attempts.iter().any(|a| a.open)) {
             self.requests.remove(&id);
-            self.shared.open.fetch_sub(1, Ordering::AcqRel);
+            self.shared.open_requests.fetch_sub(1, Ordering::AcqRel);
         }
     }
 
-    /// An attempt ended, and the module hears of it at once.
-    fn ended(&mut self, key: AttemptKey, report: Report) {
-        self.end(key, report);
-        self.decide();
-        self.forget(key.request);
+    /// Records the end of an attempt and passes it to the controller at once.
+    fn attempt_ended(&mut self, key: AttemptKey, report: AttemptReport) {
+        self.record_attempt_end(key, report);
+        self.run_controller();
+        self.remove_if_finished(key.request);
     }
 
-    /// The end of an attempt, once: reports of an attempt that has ended already are dropped. The module hears
-    /// of it as its next event.
-    fn end(&mut self, key: AttemptKey, report: Report) {
-        let (id, attempt) = (key.request, key.attempt);
+    /// Records the end of an attempt and queues it as the controller's next event. Reports of an attempt that
+    /// has already ended are dropped.
+    fn record_attempt_end(&mut self, key: AttemptKey, report: AttemptReport) {
+        let AttemptKey { request: id, attempt: number } = key;
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.attempts.get_mut(attempt).filter(|a| a.open) else { return };
-        out.open = false;
-        let elapsed = self.clock.now().saturating_sub(out.sent);
+        let Some(attempt) = open.attempts.get_mut(number).filter(|a| a.open) else { return };
+        attempt.open = false;
+        let elapsed = self.clock.now().saturating_sub(attempt.sent_at);
         if report.outcome != Outcome::Ok {
-            note!(
-                "request {:016x}: attempt {attempt} at {} ended after {} ms: {}",
+            log_limited!(
+                "request {:016x}: attempt {number} at worker {} ended after {} ms: {}",
                 open.request.wire_id,
-                out.worker,
+                attempt.worker,
                 elapsed / 1_000,
-                reason(report.outcome)
+                describe(report.outcome)
             );
         }
-        let Report { outcome, warm, crowd, inflight, payload } = report;
+        let AttemptReport { outcome, warm, crowd, inflight, payload } = report;
         if let (Outcome::Ok, Some(payload)) = (outcome, payload) {
-            self.answer(id, Answer::Served(payload));
+            self.respond(id, Response::Served(payload));
         }
         let closed = self.requests.get(&id).is_none_or(|o| o.answered);
         self.events.push_back(Event::Outcome {
             id,
-            attempt,
+            attempt: number,
             outcome,
             elapsed,
             closed,
@@ -330,226 +361,239 @@
         });
     }
 
-    fn ordered(&mut self, order: u64, outcome: Outcome, count: u32) {
-        let Some((worker, function, since)) = self.orders.remove(&order) else { return };
-        let elapsed = self.clock.now().saturating_sub(since);
+    fn load_ended(&mut self, command: u64, outcome: Outcome, count: u32) {
+        let Some(LoadCommand { worker, function, sent_at }) = self.load_commands.remove(&command) else {
+            return;
+        };
+        let elapsed = self.clock.now().saturating_sub(sent_at);
         self.events.push_back(Event::Loaded { worker, function, count, outcome, elapsed });
     }
 
-    fn probed(&mut self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
+    fn probe_ended(&mut self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
         if let Some(worker) = self.probes.remove(&probe) {
             if outcome != Outcome::Ok {
-                note!("worker {worker}: takes no work, by its probe: {}", reason(outcome));
+                log_limited!("worker {worker}: probe failed: {}", describe(outcome));
             }
             self.events.push_back(Event::Probed { worker, outcome, inflight });
         }
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Module(token) => self.events.push_back(Event::Timer { token }),
-            Due::Attempt(key) => {
-                // Guards against workers that vanish without a word: our own clock ends what is out there.
-                let open = self.requests.get(&key.request).and_then(|o| o.attempts.get(key.attempt));
-                if let Some(attempt) = open.filter(|a| a.open) {
-                    if let Some(peer) = self.peers.get_mut(&attempt.worker) {
-                        peer.cancel(key);
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Controller(token) => self.events.push_back(Event::Timer { token }),
+            Timer::AttemptTimeout(key) => {
+                // Ends attempts at workers that disappear without closing their connection.
+                let attempt = self.requests.get(&key.request).and_then(|o| o.attempts.get(key.attempt));
+                if let Some(attempt) = attempt.filter(|a| a.open) {
+                    if let Some(worker) = self.workers.get_mut(&attempt.worker) {
+                        worker.cancel(key);
                     }
-                    self.ended(key, Report::bare(Outcome::Timeout));
+                    self.attempt_ended(key, AttemptReport::without_reply(Outcome::Timeout));
                 }
             }
-            Due::Order(order) => {
-                // Guards connections: one that waits for the answer to a lost order would never be idle.
-                let worker = self.orders.get(&order).map(|o| &o.0);
-                if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.transports().for_each(|t| t.lapse(order));
+            Timer::LoadTimeout(command) => {
+                // A connection that still waits for the reply to a lost command would never become idle.
+                let worker = self.load_commands.get(&command).map(|c| &c.worker);
+                if let Some(worker) = worker.and_then(|w| self.workers.get_mut(w)) {
+                    worker.transports().for_each(|t| t.lapse(command));
                 }
-                self.ordered(order, Outcome::Timeout, 0);
+                self.load_ended(command, Outcome::Timeout, 0);
             }
-            Due::Probe(probe) => {
+            Timer::ProbeTimeout(probe) => {
                 let worker = self.probes.get(&probe);
-                if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.transports().for_each(|t| t.lapse(probe));
+                if let Some(worker) = worker.and_then(|w| self.workers.get_mut(w)) {
+                    worker.transports().for_each(|t| t.lapse(probe));
                 }
-                self.probed(probe, Outcome::Timeout, None);
+                self.probe_ended(probe, Outcome::Timeout, None);
             }
-            Due::Request(id) => {
-                self.answer(id, Answer::Failed);
-                self.forget(id);
+            Timer::RequestDeadline(id) => {
+                self.respond(id, Response::Failed);
+                self.remove_if_finished(id);
             }
-            Due::Pulse => {
-                let (now, every) = (self.clock.now(), self.limits.link_check);
-                // Guards sound connections from our own stand-still: what came meanwhile is not read yet.
-                if now < self.pulsed + 2 * every {
-                    self.peers.pulse();
+            Timer::LivenessCheck => {
+                let (now, interval) = (self.clock.now(), self.limits.liveness_poll_interval);
+                // If this process itself was stalled, replies that arrived meanwhile are not read yet: a
+                // check now would close healthy connections.
+                if now < self.last_liveness_check + 2 * interval {
+                    self.workers.check_liveness();
                 }
-                self.peers.count();
-                self.pulsed = now;
-                self.timers.set(now + every, Due::Pulse);
+                self.workers.recount_connections();
+                self.last_liveness_check = now;
+                self.timers.schedule(now + interval, Timer::LivenessCheck);
             }
-            Due::Sweep => {
-                self.peers.sweep();
-                self.timers.set(self.clock.now() + SWEEP, Due::Sweep);
+            Timer::Sweep => {
+                self.workers.sweep();
+                self.timers.schedule(self.clock.now() + SWEEP_INTERVAL, Timer::Sweep);
             }
         }
     }
 
-    /// Hands the events to the module and carries out what it decides, until nothing is left.
-    fn decide(&mut self) {
+    /// Passes queued events to the controller and performs its actions until no event is left.
+    fn run_controller(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.controller.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         let now = self.clock.now();
         match action {
-            Action::Send { id, worker, timeout } => self.send(now, id, worker, timeout),
+            Action::Send { id, worker, timeout } => self.send_attempt(now, id, worker, timeout),
             Action::Cancel { id, attempt } => {
                 let key = AttemptKey { request: id, attempt };
-                let of = self.requests.get(&id).and_then(|o| o.attempts.get(attempt)).filter(|a| a.open);
-                if let Some(peer) = of.and_then(|a| self.peers.get_mut(&a.worker)) {
-                    peer.cancel(key);
-                    self.end(key, Report::bare(Outcome::Cancelled));
-                    self.forget(id);
+                let attempt = self.requests.get(&id).and_then(|o| o.attempts.get(attempt)).filter(|a| a.open);
+                if let Some(worker) = attempt.and_then(|a| self.workers.get_mut(&a.worker)) {
+                    worker.cancel(key);
+                    self.record_attempt_end(key, AttemptReport::without_reply(Outcome::Cancelled));
+                    self.remove_if_finished(id);
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.note_end(id, "refused");
-                self.answer(id, Answer::Refused { wait: retry_after });
-                self.forget(id);
+                self.log_rejection(id, "refused");
+                self.respond(id, Response::Refused { retry_after });
+                self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.note_end(id, "failed");
-                self.answer(id, Answer::Failed);
-                self.forget(id);
+                self.log_rejection(id, "failed");
+                self.respond(id, Response::Failed);
+                self.remove_if_finished(id);
+            }
+            Action::Timer { delay, token } => {
+                self.timers.schedule(now.saturating_add(delay), Timer::Controller(token));
             }
-            Action::Timer { delay, token } => self.timers.set(now.saturating_add(delay), Due::Module(token)),
             Action::Load { worker, function, count } => {
-                self.last += 1;
-                let order = self.last;
-                self.orders.insert(order, (worker.clone(), function, now));
-                // Guards rule 3 whatever the module thinks: no order to load goes to a worker that drains.
-                let may = |p: &&mut Peer| p.member.state == WorkerState::Ready || count == 0;
-                let room = self.make_room(&worker, true);
-                let until = self.until(&worker);
-                match self.peers.reach(&worker).filter(may) {
-                    Some(peer) if room => peer.transport.order(order, function, count, until),
-                    Some(_) => self.reports.ordered(order, Outcome::Moot, 0),
-                    None => self.reports.ordered(order, Outcome::ConnectFailed, 0),
+                self.last_id += 1;
+                let command = self.last_id;
+                let sent = LoadCommand { worker: worker.clone(), function, sent_at: now };
+                self.load_commands.insert(command, sent);
+                // A draining worker must get no command to load copies, whatever the controller assumes of
+                // its state.
+                let may_send = |w: &&mut Worker| w.listing.state == WorkerState::Ready || count == 0;
+                let has_connection = self.reserve_connection(&worker, true);
+                let until = self.lease_end(&worker);
+                match self.workers.get_for_send(&worker).filter(may_send) {
+                    Some(worker) if has_connection => worker.transport.order(command, function, count, until),
+                    Some(_) => self.reports.ordered(command, Outcome::Moot, 0),
+                    None => self.reports.ordered(command, Outcome::ConnectFailed, 0),
                 }
-                self.timers.set(now + self.limits.order, Due::Order(order));
+                self.timers.schedule(now + self.limits.load_command_timeout, Timer::LoadTimeout(command));
             }
             Action::Probe { worker } => {
-                note!("worker {worker}: probed, as its readiness is not known any more");
-                self.last += 1;
-                let probe = self.last;
-                let room = self.make_room(&worker, true);
-                match self.peers.reach(&worker) {
-                    Some(peer) if room => peer.transport.probe(probe),
+                log_limited!("worker {worker}: sending a probe, as it is no longer known to be ready");
+                self.last_id += 1;
+                let probe = self.last_id;
+                let has_connection = self.reserve_connection(&worker, true);
+                match self.workers.get_for_send(&worker) {
+                    Some(worker) if has_connection => worker.transport.probe(probe),
                     Some(_) => self.reports.probed(probe, Outcome::Moot, None),
                     None => self.reports.probed(probe, Outcome::ConnectFailed, None),
                 }
                 self.probes.insert(probe, worker);
-                self.timers.set(now + self.limits.probe, Due::Probe(probe));
+                self.timers.schedule(now + self.limits.probe_timeout, Timer::ProbeTimeout(probe));
             }
             Action::Drop { worker, function } => {
-                let room = self.make_room(&worker, true);
-                if let Some(peer) = self.peers.reach(&worker).filter(|_| room) {
-                    peer.transport.unload(function);
+                let has_connection = self.reserve_connection(&worker, true);
+                if let Some(worker) = self.workers.get_for_send(&worker).filter(|_| has_connection) {
+                    worker.transport.unload(function);
                 }
             }
-            Action::Log { text } => note!("module: {text}"),
-            Action::Watch => {} // the board tells by itself
+            Action::Log { text } => log_limited!("controller: {text}"),
+            Action::Watch => {} // discovery pushes updates without a subscription
         }
     }
 
-    /// A line for an answer that the module decided on.
-    fn note_end(&self, id: u64, how: &str) {
+    /// Logs a response that the controller decided on.
+    fn log_rejection(&self, id: u64, response: &str) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.answered) else { return };
-        let waited = self.clock.now().saturating_sub(self.clock.at(open.request.read_at));
+        let elapsed = self.clock.now().saturating_sub(self.clock.at(open.request.received_at));
         let (wire_id, attempts) = (open.request.wire_id, open.attempts.len());
-        note!("request {wire_id:016x}: {how} after {} ms and {attempts} attempts", waited / 1_000);
+        log_limited!(
+            "request {wire_id:016x}: {response} after {} ms and {attempts} attempts",
+            elapsed / 1_000
+        );
     }
 
-    /// Until when the first byte of something new may go to a worker. The module's decision may wait for a
-    /// connection or a full socket, and what it rests on may run out meanwhile.
-    fn until(&self, worker: &str) -> Option<Instant> {
+    /// The end of a worker's lease, after which no first byte of a new exchange may be sent to it. The
+    /// controller's decision may wait for a connection or a full socket, and the lease it rests on may expire
+    /// meanwhile.
+    fn lease_end(&self, worker: &str) -> Option<Instant> {
         self.controller.lease_of(worker).map(|end| self.clock.instant(end))
     }
 
-    /// Whether an exchange with a worker finds a connection or may open one. Guards the descriptors: where
-    /// connections are at their bound, a part of them makes way, those idle for longest first. Orders leave a
-    /// quarter to calls: a new function may be asked for at all workers at once.
-    fn make_room(&mut self, worker: &str, order: bool) -> bool {
-        if !self.peers.get(worker).is_some_and(|p| p.transport.connections().1) {
+    /// Whether an exchange with a worker can use an open connection or open a new one. At the limit on worker
+    /// connections, which bounds the descriptors, some of the idle connections are closed, least recently
+    /// used first. Commands and probes may use three quarters of the limit and leave the rest to calls: a new
+    /// function may be queried at all workers at once.
+    fn reserve_connection(&mut self, worker: &str, is_command: bool) -> bool {
+        if !self.workers.get(worker).is_some_and(|w| w.transport.connections().1) {
             return true;
         }
-        let all = self.limits.worker_connections;
-        let most = if order { all - all / 4 } else { all };
-        // A part at a time: which are idle for longest is not to be looked for at each exchange.
-        let room = self.peers.connections() < most
-            || self.peers.close_idle(all / MAKE_WAY_PART + 1) > 0
-            || self.peers.count() < most;
-        if room {
-            self.peers.opens();
+        let limit = self.limits.worker_connections;
+        let max_connections = if is_command { limit - limit / 4 } else { limit };
+        // Several at a time: finding the longest idle connections is too costly for each exchange.
+        let has_room = self.workers.connections() < max_connections
+            || self.workers.close_idle(limit / IDLE_EVICTION_DIVISOR + 1) > 0
+            || self.workers.recount_connections() < max_connections;
+        if has_room {
+            self.workers.reserve_connection();
         } else {
-            note!(
-                "core: nothing sent to {worker}: {} connections to workers are in use",
-                self.peers.connections()
+            log_limited!(
+                "worker {worker}: nothing sent: {} worker connections are in use",
+                self.workers.connections()
             );
         }
-        room
+        has_room
     }
 
-    fn send(&mut self, now: Micros, id: u64, worker: String, timeout: Micros) {
+    fn send_attempt(&mut self, now: Micros, id: u64, worker: String, timeout: Micros) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let key = AttemptKey { request: id, attempt: open.attempts.len() };
         let request = open.request.clone();
-        let left = self.left(now, &request);
+        let left = self.remaining_wait(now, &request);
         let budget = if timeout == 0 { left } else { timeout.min(left) };
         let Some(open) = self.requests.get_mut(&id) else { return };
-        open.attempts.push(Attempt { worker: worker.clone(), sent: now, open: true });
-        let owed = !open.answered && budget > 0;
-        let room = owed && self.make_room(&worker, false);
-        let ready = |p: &&mut Peer| p.member.state == WorkerState::Ready;
-        let until = self.until(&worker);
-        match self.peers.reach(&worker).filter(ready) {
-            Some(peer) if room => {
-                peer.transport.send(key, &request, budget, until);
-                self.timers.set(now.saturating_add(budget), Due::Attempt(key));
+        open.attempts.push(Attempt { worker: worker.clone(), sent_at: now, open: true });
+        let still_needed = !open.answered && budget > 0;
+        let has_connection = still_needed && self.reserve_connection(&worker, false);
+        let is_ready = |w: &&mut Worker| w.listing.state == WorkerState::Ready;
+        let until = self.lease_end(&worker);
+        match self.workers.get_for_send(&worker).filter(is_ready) {
+            Some(worker) if has_connection => {
+                worker.transport.send(key, &request, budget, until);
+                self.timers.schedule(now.saturating_add(budget), Timer::AttemptTimeout(key));
             }
             _ => {
-                self.end(key, Report::bare(Outcome::Moot));
-                self.forget(id);
+                self.record_attempt_end(key, AttemptReport::without_reply(Outcome::Moot));
+                self.remove_if_finished(id);
             }
         }
     }
 
-    fn members(&mut self, source: Speech, full: bool, mut members: Vec<Member>) {
-        one_at_an_address(&mut members);
+    fn update_worker_list(&mut self, source: WorkerProtocol, full: bool, mut listed: Vec<ListedWorker>) {
+        keep_one_per_address(&mut listed);
         if full {
-            let listed: BTreeSet<&str> = members.iter().map(|m| m.id.as_str()).collect();
-            let left = |p: &&Peer| p.member.speech == source && !listed.contains(p.member.id.as_str());
-            let gone: Vec<Member> = self.peers.values().filter(left).map(Peer::gone).collect();
-            members.extend(gone);
+            let ids: BTreeSet<&str> = listed.iter().map(|l| l.id.as_str()).collect();
+            let left_out = |w: &&Worker| w.listing.protocol == source && !ids.contains(w.listing.id.as_str());
+            let gone: Vec<ListedWorker> =
+                self.workers.values().filter(left_out).map(Worker::listing_as_gone).collect();
+            listed.extend(gone);
         }
-        members.splice(0..0, self.peers.displaced(source, &members));
-        let starts = StartTimes::told(self.clock.now(), &members);
-        let quiet = members.len().saturating_sub(MEMBERS_LOGGED);
-        let mut entries = Vec::with_capacity(members.len());
-        for (n, member) in members.into_iter().enumerate() {
-            if n < MEMBERS_LOGGED {
-                log!("member {}: {:?} at {}", member.id, member.state, member.address);
+        listed.splice(0..0, self.workers.displaced_by(source, &listed));
+        let start_times = StartTimes::new(self.clock.now(), &listed);
+        let not_logged = listed.len().saturating_sub(MAX_LOGGED_WORKERS);
+        let mut entries = Vec::with_capacity(listed.len());
+        for (index, listing) in listed.into_iter().enumerate() {
+            if index < MAX_LOGGED_WORKERS {
+                log!("worker {}: {:?} at {}", listing.id, listing.state, listing.address);
             }
-            entries.push(self.member(member, &starts));
+            entries.push(self.update_worker(listing, &start_times));
         }
-        if quiet > 0 {
-            log!("member: {quiet} more have changed, {} are known", self.peers.len());
+        if not_logged > 0 {
+            log!("worker list: {not_logged} more workers changed, {} are known", self.workers.len());
         }
         if !entries.is_empty() {
             self.events.push_back(Event::Members { full: false, entries });
@@ -557,70 +601,76 @@
         self.shared.ready.store(true, Ordering::Release);
     }
 
-    /// Takes over what is told of one worker; the same for the module.
-    fn member(&mut self, mut member: Member, starts: &StartTimes) -> Entry {
-        let known = self.peers.get_mut(&member.id);
-        if let Some(peer) = known.as_ref().filter(|_| member.state == WorkerState::Gone) {
-            member = peer.gone(); // a list that leaves it out tells no more of it
+    /// Updates one worker from the list, and returns its entry for the controller.
+    fn update_worker(&mut self, mut listing: ListedWorker, start_times: &StartTimes) -> Entry {
+        let known = self.workers.get_mut(&listing.id);
+        if let Some(worker) = known.as_ref().filter(|_| listing.state == WorkerState::Gone) {
+            // A worker left out of a full list comes without its other fields.
+            listing = worker.listing_as_gone();
         }
-        let place = |names: &[String], name: &str| heronslip_policy::json::position(names, Some(name));
-        let same_process = known.as_ref().filter(|peer| peer.member.started_at == member.started_at);
-        let started_at = same_process.map_or_else(|| starts.of(member.started_at), |peer| peer.started_at);
+        let position = |names: &[String], name: &str| heronslip_policy::json::position(names, Some(name));
+        let same_process = known.as_ref().filter(|worker| worker.listing.started_at == listing.started_at);
+        let started_at = same_process
+            .map_or_else(|| start_times.local_time(listing.started_at), |worker| worker.started_at);
         let entry = Entry {
-            worker: member.id.clone(),
-            state: member.state,
+            worker: listing.id.clone(),
+            state: listing.state,
             started_at,
-            zone: place(&self.settings.zones, &member.zone),
-            kind: place(&self.settings.kinds, &member.kind),
-            cell: member.cell,
+            zone: position(&self.settings.zones, &listing.zone),
+            kind: position(&self.settings.kinds, &listing.machine_kind),
+            cell: listing.cell,
         };
-        // An address may be taken over by a worker that is new: what was open to the old one stays there.
-        match known.filter(|p| p.member.address == member.address && p.member.speech == member.speech) {
-            Some(peer) => {
-                if member.state != WorkerState::Ready || peer.member.started_at != member.started_at {
-                    peer.transport.retire();
+        // A worker that moves gets a new transport: exchanges open at its former address end there.
+        let is_same_endpoint =
+            |w: &&mut Worker| w.listing.address == listing.address && w.listing.protocol == listing.protocol;
+        match known.filter(is_same_endpoint) {
+            Some(worker) => {
+                if listing.state != WorkerState::Ready || worker.listing.started_at != listing.started_at {
+                    worker.transport.retire();
                 }
-                (peer.member, peer.started_at) = (member, started_at);
+                (worker.listing, worker.started_at) = (listing, started_at);
             }
             None => {
-                let to = transport(member.speech, member.address, &self.limits, &self.reports);
-                let id = member.id.clone();
-                let old = self.peers.insert(Peer { member, started_at, transport: to, former: Vec::new() });
-                if let (Some(mut old), Some(peer)) = (old, self.peers.get_mut(&id)) {
+                let transport = transport(listing.protocol, listing.address, &self.limits, &self.reports);
+                let id = listing.id.clone();
+                let new = Worker { listing, started_at, transport, former_transports: Vec::new() };
+                let old = self.workers.insert(new);
+                if let (Some(mut old), Some(worker)) = (old, self.workers.get_mut(&id)) {
                     old.transport.retire();
-                    peer.former = old.former;
-                    peer.former.push(old.transport);
+                    worker.former_transports = old.former_transports;
+                    worker.former_transports.push(old.transport);
                 }
             }
         }
         entry
     }
 
-    /// Tenants with their quotas and counts, members and open requests, as JSON.
-    fn inspect(&self) -> String {
+    /// Tenants with their quotas and counters, workers, and the number of open requests, as JSON.
+    fn state_json(&self) -> String {
         let object = |fields: Vec<(&str, Value)>| {
             Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect::<Object>())
         };
         let count = |n: u64| Value::Number(Number::U64(n));
-        let tenants = self.counts.iter().enumerate().map(|(t, c)| {
-            let told = self.settings.tenants.get(t);
+        let tenants = self.tenant_counters.iter().enumerate().map(|(index, counters)| {
+            let tenant = self.settings.tenants.get(index);
             object(vec![
-                ("name", Value::String(told.map_or("(unknown)", |t| &t.name).to_owned())),
-                ("quota_per_s", Value::Number(Number::F64(told.map_or(0.0, |t| t.quota_per_s)))),
-                ("asked", count(c.asked)),
-                ("served", count(c.served)),
-                ("refused", count(c.refused)),
-                ("failed", count(c.failed)),
-                ("withdrawn", count(c.withdrawn)),
+                ("name", Value::String(tenant.map_or("(unknown)", |t| &t.name).to_owned())),
+                ("quota_per_s", Value::Number(Number::F64(tenant.map_or(0.0, |t| t.quota_per_s)))),
+                ("asked", count(counters.received)),
+                ("served", count(counters.served)),
+                ("refused", count(counters.refused)),
+                ("failed", count(counters.failed)),
+                ("withdrawn", count(counters.cancelled)),
             ])
         });
-        let endpoints = self.peers.values().map(|p| {
+        let endpoints = self.workers.values().map(|worker| {
+            let listing = &worker.listing;
             object(vec![
-                ("name", Value::String(p.member.id.clone())),
-                ("address", Value::String(p.member.address.to_string())),
-                ("state", Value::String(format!("{:?}", p.member.state).to_lowercase())),
-                ("zone", Value::String(p.member.zone.clone())),
-                ("speech", Value::String(format!("{:?}", p.member.speech).to_lowercase())),
+                ("name", Value::String(listing.id.clone())),
+                ("address", Value::String(listing.address.to_string())),
+                ("state", Value::String(format!("{:?}", listing.state).to_lowercase())),
+                ("zone", Value::String(listing.zone.clone())),
+                ("speech", Value::String(format!("{:?}", listing.protocol).to_lowercase())),
             ])
         });
         let fields = vec![
--- a/heronslip/src/core/start_times.rs
+++ b/heronslip/src/core/start_times.rs
@@ -1,32 +1,33 @@
-//! When listed workers started, on our own clock.
+//! Start times of listed workers on the core's own clock.
 //!
-//! The list stamps a late start with the wall clock of the machine that saw it. Nothing ties that clock to ours, and
-//! either may be stepped. Only the distances between stamps that are told together are used: the worker that started
-//! last of those is taken to have started when it was told, the others by their distance before it. So no worker
-//! counts as older than it is told to be, and each is warm in time, whatever any wall clock shows.
-use crate::messages::Member;
+//! A worker list gives start times on the wall clock of the machine that observed the start. That clock has
+//! no known relation to the core's clock, and either machine's wall clock may be stepped. So only the
+//! differences between the timestamps of one update are used: the worker with the latest timestamp counts as
+//! started when the update arrived, the others earlier by their difference to it. No worker counts as older
+//! than the list states, and each still counts as warm in time, whatever the wall clocks show.
+use crate::messages::ListedWorker;
 use heronslip_policy::Micros;
 
-/// The stamps of one piece of news.
+/// The start timestamps of one list update.
 pub struct StartTimes {
-    /// When it was told, on our clock.
-    told: Micros,
-    /// The latest of its stamps; 0: none.
+    /// When the update arrived, on the core's clock.
+    received_at: Micros,
+    /// The latest of its timestamps; 0: none.
     latest: Micros,
 }
 
 impl StartTimes {
-    /// Of the members told at this time, on our clock.
-    pub fn told(now: Micros, members: &[Member]) -> Self {
-        let latest = members.iter().map(|member| member.started_at).max().unwrap_or(0);
-        StartTimes { told: now, latest }
+    /// For an update that arrived at `received_at` on the core's clock.
+    pub fn new(received_at: Micros, listed: &[ListedWorker]) -> Self {
+        let latest = listed.iter().map(|worker| worker.started_at).max().unwrap_or(0);
+        StartTimes { received_at, latest }
     }
 
-    /// When the worker of this stamp started, on our clock; 0 for "long ago".
-    pub fn of(&self, stamp: Micros) -> Micros {
-        if stamp == 0 {
+    /// A start timestamp of the update on the core's clock; 0 for "long ago".
+    pub fn local_time(&self, timestamp: Micros) -> Micros {
+        if timestamp == 0 {
             return 0;
         }
-        self.told.saturating_sub(self.latest.saturating_sub(stamp)).max(1)
+        self.received_at.saturating_sub(self.latest.saturating_sub(timestamp)).max(1)
     }
 }
--- a/heronslip/src/core/timers.rs
+++ b/heronslip/src/core/timers.rs
@@ -1,61 +1,62 @@
-//! One heap of timers; none can be taken back, what is no longer needed is ignored when it is due.
+//! The core's timers in one heap. Timers cannot be cancelled: one that is no longer needed is ignored when it
+//! fires.
 use crate::messages::AttemptKey;
 use heronslip_policy::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// What is due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// The module's timer with this token.
-    Module(u64),
-    /// An attempt's time is up.
-    Attempt(AttemptKey),
-    /// An order's time is up.
-    Order(u64),
-    /// A probe's time is up.
-    Probe(u64),
-    /// A request's client leaves.
-    Request(u64),
-    /// Time to look whether connections to workers still answer.
-    Pulse,
-    /// Time to look for idle connections.
+pub enum Timer {
+    /// The controller's timer with this token.
+    Controller(u64),
+    /// An attempt times out.
+    AttemptTimeout(AttemptKey),
+    /// The load command with this number times out.
+    LoadTimeout(u64),
+    /// The probe with this number times out.
+    ProbeTimeout(u64),
+    /// The client of the request with this number stops waiting.
+    RequestDeadline(u64),
+    /// Worker connections are checked for liveness.
+    LivenessCheck,
+    /// Idle worker connections and removed workers are cleaned up.
     Sweep,
 }
 
-/// The heap; equal times fire in the order in which they were set.
+/// The heap of timers. Timers with the same time fire in the order in which they were scheduled.
 #[derive(Default)]
 pub struct Timers {
-    heap: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    set: u64,
+    heap: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
+    last_sequence: u64,
 }
 
 impl Timers {
-    /// Sets a timer.
-    pub fn set(&mut self, at: Micros, due: Due) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, due)));
+    /// Adds a timer that fires at this time.
+    pub fn schedule(&mut self, at: Micros, timer: Timer) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse((at, self.last_sequence, timer)));
     }
 
-    /// Takes the next timer that is due.
-    pub fn due(&mut self, now: Micros) -> Option<Due> {
+    /// Removes and returns the next timer that is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         match self.heap.peek() {
-            Some(Reverse((at, _, _))) if *at <= now => self.heap.pop().map(|Reverse((_, _, due))| due),
+            Some(Reverse((at, _, _))) if *at <= now => self.heap.pop().map(|Reverse((_, _, timer))| timer),
             _ => None,
         }
     }
 
     /// By how much the next timer is overdue.
-    pub fn late(&self, now: Micros) -> Micros {
+    pub fn lateness(&self, now: Micros) -> Micros {
         self.heap.peek().map_or(0, |Reverse((at, _, _))| now.saturating_sub(*at))
     }
 
-    /// How long nothing is due.
-    pub fn wait(&self, now: Micros) -> Duration {
+    /// Time until the next timer is due, at most [`MAX_SLEEP`].
+    pub fn time_to_next(&self, now: Micros) -> Duration {
         let next = self.heap.peek().map(|Reverse((at, _, _))| at.saturating_sub(now));
-        next.map_or(LONGEST_SLEEP, |n| Duration::from_micros(n).min(LONGEST_SLEEP))
+        next.map_or(MAX_SLEEP, |n| Duration::from_micros(n).min(MAX_SLEEP))
     }
 }
--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -4,11 +4,11 @@
 use super::list_event::{EventBounds, EventError, EventReader};
 use super::table::{Staged, Table};
 use super::ListEvent;
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{ChunkedDecoder, ChunkedItem, Head};
 use crate::limits::Limits;
-use crate::messages::{Member, Message, Speech};
-use crate::net::timed_out;
-use crate::ring::Ring;
+use crate::messages::{ListedWorker, Message, WorkerProtocol};
+use crate::net::is_timeout;
+use crate::ring::RingBuffer;
 use heronslip_policy::DiscoveryState;
 use may::net::TcpStream;
 use may::sync::Mutex;
@@ -27,7 +27,7 @@
         Board(Mutex::new(address))
     }
 
-    /// The board is elsewhere from now on; whoever follows it notices within `Limits::board_check`.
+    /// The board is elsewhere from now on; whoever follows it notices within `Limits::discovery_check_interval`.
     pub fn moved(&self, to: SocketAddr) {
         if let Ok(mut address) = self.0.lock() {
             *address = Some(to);
@@ -78,7 +78,7 @@
     bounds: EventBounds,
     core: Sender<Message>,
     /// What the events of the configuration come to, until they have all been taken over.
-    known: Option<BTreeMap<String, Member>>,
+    known: Option<BTreeMap<String, ListedWorker>>,
     /// Number of the last event that counts.
     last: u64,
     /// The event after it that could not be used when it came first.
@@ -99,7 +99,10 @@
 impl Follower {
     /// Nothing is known yet.
     pub fn new(limits: &Limits, core: Sender<Message>) -> Self {
-        let bounds = EventBounds { entry_bytes: limits.board_entry, entries: limits.board_entries };
+        let bounds = EventBounds {
+            entry_bytes: limits.discovery_max_entry_bytes,
+            entries: limits.discovery_max_entries,
+        };
         Follower { table: Table::default(), bounds, core, known: None, last: 0, spoilt: None, state: None }
     }
 
@@ -186,7 +189,7 @@
         }
         match read {
             Ok(full) => self.commit(full, staged),
-            Err(error) => note!("board: event {number} of {bytes} bytes cannot be used: {error}"),
+            Err(error) => log_limited!("board: event {number} of {bytes} bytes cannot be used: {error}"),
         }
         (self.last, self.spoilt) = (number, None);
         Ok(())
@@ -198,16 +201,20 @@
     }
 
     /// What an event changes.
-    fn changed(&mut self, full: bool, mut staged: Staged) -> Vec<Member> {
+    fn changed(&mut self, full: bool, mut staged: Staged) -> Vec<ListedWorker> {
         for unreadable in std::mem::take(&mut staged.unreadable) {
-            note!("board: an instance was skipped: {unreadable}");
+            log_limited!("board: an instance was skipped: {unreadable}");
         }
         self.table.commit(full, staged)
     }
 
     /// Tells the core what has changed. An event that changes nothing is told too: the first makes it ready.
-    fn tell(&self, members: Vec<Member>) {
-        let _ = self.core.send(Message::Members { source: Speech::Frames, full: false, members });
+    fn tell(&self, members: Vec<ListedWorker>) {
+        let _ = self.core.send(Message::WorkerList {
+            source: WorkerProtocol::Frames,
+            full: false,
+            workers: members,
+        });
     }
 }
 
@@ -225,9 +232,9 @@
             return;
         }
         if self.more > 0 {
-            note!("{} ({} more times)", self.line, self.more);
+            log_limited!("{} ({} more times)", self.line, self.more);
         }
-        note!("{line}");
+        log_limited!("{line}");
         (self.line, self.more) = (line, 0);
     }
 }
@@ -235,7 +242,7 @@
 /// Follows the board for ever: whenever the connection ends or the board moves it calls again, telling the
 /// last event seen.
 pub fn follow(board: &Board, mut follower: Follower, limits: &Limits, seed: u64) {
-    let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, seed);
+    let mut backoff = Backoff::new(limits.discovery_initial_backoff, limits.discovery_max_backoff, seed);
     let mut ends = Repeats::default();
     loop {
         let (at, before) = (board.address(), follower.last);
@@ -261,9 +268,9 @@
     board: &Board, address: SocketAddr, follower: &mut Follower, limits: &Limits,
 ) -> Result<(), WatchError> {
     // However long workers may take to connect: what the board has to tell counts as told 4 s on.
-    let within = limits.connect.min(limits.board_silence / 2);
+    let within = limits.connect_timeout.min(limits.discovery_silence_timeout / 2);
     let mut stream = TcpStream::connect_timeout(&address, within)?;
-    stream.set_read_timeout(Some(limits.board_check))?;
+    stream.set_read_timeout(Some(limits.discovery_check_interval))?;
     let call = format!(
         "GET /board/poll HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
         follower.last
@@ -272,13 +279,13 @@
     let mut answer = Answer::new(follower, limits);
     let mut heard = Instant::now();
     let mut unsettled = false;
-    let mut ring = Ring::new(limits.client_ring);
+    let mut ring = RingBuffer::new(limits.client_buffer);
     loop {
-        match ring.fill(&mut stream) {
+        match ring.read_from(&mut stream) {
             Ok(0) => return Err(WatchError::Closed),
             Ok(_) => {}
             // A word, and nothing behind it that is still to be read: the board has told what it had to tell.
-            Err(e) if timed_out(&e) => {
+            Err(e) if is_timeout(&e) => {
                 if answer.incoming.is_none() && std::mem::take(&mut unsettled) {
                     answer.follower.is_current();
                 }
@@ -301,7 +308,7 @@
         if word {
             heard = Instant::now();
             unsettled = true;
-        } else if heard.elapsed() >= limits.board_silence {
+        } else if heard.elapsed() >= limits.discovery_silence_timeout {
             return Err(WatchError::Silent);
         }
     }
@@ -323,13 +330,13 @@
     /// Its head has not been read yet.
     Unknown,
     Plain,
-    Chunked(Chunked),
+    Chunked(ChunkedDecoder),
 }
 
 impl<'a> Answer<'a> {
     fn new(follower: &'a mut Follower, limits: &Limits) -> Self {
         let (head, body, events) = (Vec::new(), Body::Unknown, EventStream::default());
-        Answer { follower, most_head: limits.head, head, body, events, incoming: None }
+        Answer { follower, most_head: limits.max_head, head, body, events, incoming: None }
     }
 
     /// Takes the next byte; whether it completed a word.
@@ -337,10 +344,10 @@
         let content = match &mut self.body {
             Body::Unknown => return self.head_byte(byte).map(|()| false),
             Body::Plain => Some(byte),
-            Body::Chunked(coding) => match coding.byte(byte).map_err(WatchError::Http)? {
-                Coded::Byte(byte) => Some(byte),
-                Coded::Nothing => None,
-                Coded::End => return Err(WatchError::Closed),
+            Body::Chunked(coding) => match coding.decode(byte).map_err(WatchError::Http)? {
+                ChunkedItem::Content(byte) => Some(byte),
+                ChunkedItem::Framing => None,
+                ChunkedItem::End => return Err(WatchError::Closed),
             },
         };
         match content.and_then(|byte| self.events.byte(byte)) {
@@ -366,11 +373,11 @@
     fn head_byte(&mut self, byte: u8) -> Result<(), WatchError> {
         self.head.push(byte);
         if self.head.ends_with(b"\r\n\r\n") {
-            let answer = Head::answer(&self.head).map_err(WatchError::Http)?;
+            let answer = Head::parse_response(&self.head).map_err(WatchError::Http)?;
             if answer.status != 200 {
                 return Err(WatchError::Status(answer.status));
             }
-            self.body = if answer.chunked { Body::Chunked(Chunked::default()) } else { Body::Plain };
+            self.body = if answer.chunked { Body::Chunked(ChunkedDecoder::default()) } else { Body::Plain };
             self.head = Vec::new();
         } else if self.head.len() > self.most_head {
             return Err(WatchError::Http("the answer's head is too long".to_owned()));
--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -1,5 +1,5 @@
 //! One entry of the board's list.
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::json::{parse, span, text, whole};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// Tells what cannot be used of it, and the worker it names where that can be read.
-pub fn instance(text: &[u8]) -> Result<Member, Unreadable> {
+pub fn instance(text: &[u8]) -> Result<ListedWorker, Unreadable> {
     let parsed = std::str::from_utf8(text).ok().and_then(|t| parse(t).ok());
     let Some(Value::Object(fields)) = parsed else {
         return Err(Unreadable { id: None, problem: "an instance that is no object".to_owned() });
@@ -29,10 +29,10 @@
     })
 }
 
-fn member(fields: &Object) -> Result<Member, String> {
+fn member(fields: &Object) -> Result<ListedWorker, String> {
     let word = |key: &str| text(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
     let (id, address) = (word("instanceId")?.to_owned(), word("hostPort")?);
-    Ok(Member {
+    Ok(ListedWorker {
         address: address.parse().map_err(|_| format!("{id}: address {address}"))?,
         state: match word("lifecycle")? {
             "ready" => WorkerState::Ready,
@@ -42,9 +42,9 @@
         },
         started_at: span(fields, "startedAtMs"),
         zone: text(fields, "zone").unwrap_or_default().to_owned(),
-        kind: text(fields, "machineType").unwrap_or_default().to_owned(),
+        machine_kind: text(fields, "machineType").unwrap_or_default().to_owned(),
         cell: whole(fields, "cell").unwrap_or(0),
-        speech: Speech::Frames,
+        protocol: WorkerProtocol::Frames,
         id,
     })
 }
--- a/heronslip/src/discovery/list_event.rs
+++ b/heronslip/src/discovery/list_event.rs
@@ -2,7 +2,7 @@
 //! by the size of one, not by the size of the event.
 use super::instance::{instance, Unreadable};
 use super::json_array::{ArrayScanner, Place, ScanError};
-use crate::messages::Member;
+use crate::messages::ListedWorker;
 use heronslip_policy::json::{flag, parse, part};
 use miniserde::json::Value;
 
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// Fails where the event cannot be used, whatever follows.
-    pub fn byte(&mut self, byte: u8) -> Result<Option<Result<Member, Unreadable>>, EventError> {
+    pub fn byte(&mut self, byte: u8) -> Result<Option<Result<ListedWorker, Unreadable>>, EventError> {
         self.bytes += 1;
         match self.scanner.byte(byte)? {
             Place::Outside => return Ok(None),
--- a/heronslip/src/discovery/mod.rs
+++ b/heronslip/src/discovery/mod.rs
@@ -17,7 +17,7 @@
 pub use table::Table;
 pub use xds::endpoints;
 
-use crate::messages::Member;
+use crate::messages::ListedWorker;
 use instance::Unreadable;
 
 /// An event of the list, read whole.
@@ -26,5 +26,5 @@
     /// Whether this is the whole list.
     pub full: bool,
     /// Its entries, as far as each can be read.
-    pub entries: Vec<Result<Member, Unreadable>>,
+    pub entries: Vec<Result<ListedWorker, Unreadable>>,
 }
--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -1,6 +1,6 @@
 //! What the board has told of each worker, so that only what changes goes on to the core.
 use super::instance::Unreadable;
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::WorkerState;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -33,15 +33,15 @@
 /// An event on its way.
 #[derive(Debug, Default)]
 pub struct Staged {
-    changed: Vec<Member>,
+    changed: Vec<ListedWorker>,
     /// Entries that could not be read.
     pub unreadable: Vec<Unreadable>,
 }
 
-fn fingerprint(member: &Member) -> u64 {
+fn fingerprint(member: &ListedWorker) -> u64 {
     let mut hasher = DefaultHasher::new();
     (member.address, member.started_at, member.cell).hash(&mut hasher);
-    (member.zone.as_str(), member.kind.as_str()).hash(&mut hasher);
+    (member.zone.as_str(), member.machine_kind.as_str()).hash(&mut hasher);
     (member.state as u8).hash(&mut hasher);
     hasher.finish()
 }
@@ -54,7 +54,7 @@
     }
 
     /// Stages an entry, unless it tells what is known already.
-    pub fn stage(&mut self, entry: Result<Member, Unreadable>, staged: &mut Staged) {
+    pub fn stage(&mut self, entry: Result<ListedWorker, Unreadable>, staged: &mut Staged) {
         let member = match entry {
             Ok(member) => member,
             Err(unreadable) => {
@@ -78,7 +78,7 @@
     }
 
     /// Takes an event over; what the core is to be told of it. A whole list leaves out whoever it does not name.
-    pub fn commit(&mut self, full: bool, staged: Staged) -> Vec<Member> {
+    pub fn commit(&mut self, full: bool, staged: Staged) -> Vec<ListedWorker> {
         let mut told = Vec::new();
         if full {
             let event = self.event;
@@ -111,7 +111,7 @@
         self.listed.is_empty()
     }
 
-    fn insert(&mut self, member: &Member) {
+    fn insert(&mut self, member: &ListedWorker) {
         let (fingerprint, address) = (fingerprint(member), member.address);
         let listed = Listed { fingerprint, address, named_in: self.event, changed: false };
         self.listed.insert(member.id.as_str().into(), listed);
@@ -132,15 +132,15 @@
 }
 
 /// The word of a worker's end that a whole list gives by leaving it out.
-fn gone(id: &str, address: SocketAddr) -> Member {
-    Member {
+fn gone(id: &str, address: SocketAddr) -> ListedWorker {
+    ListedWorker {
         id: id.to_owned(),
         address,
         state: WorkerState::Gone,
         started_at: 0,
         zone: String::new(),
-        kind: String::new(),
+        machine_kind: String::new(),
         cell: 0,
-        speech: Speech::Frames,
+        protocol: WorkerProtocol::Frames,
     }
 }
--- a/heronslip/src/discovery/xds.rs
+++ b/heronslip/src/discovery/xds.rs
@@ -1,12 +1,12 @@
 //! KServe v2 workers from a file: endpoints in Envoy's xDS JSON form.
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::json::{list, object, part, span, text, whole};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
 
 /// Members of an xDS discovery response (or a single resource) of `ClusterLoadAssignment`s. What this
 /// project needs beyond xDS stands in each endpoint's `metadata.filter_metadata["heronslip"]`.
-pub fn endpoints(response: &Object) -> Result<Vec<Member>, String> {
+pub fn endpoints(response: &Object) -> Result<Vec<ListedWorker>, String> {
     let single = [Value::Object(response.clone())];
     let resources = if response.contains_key("resources") { list(response, "resources") } else { &single };
     let mut members = Vec::new();
@@ -24,7 +24,7 @@
                 let address = format!("{host}:{port}");
                 let own = part(lb, "metadata").and_then(|m| part(m, "filter_metadata"));
                 let own = own.and_then(|m| part(m, "heronslip")).unwrap_or(&empty);
-                members.push(Member {
+                members.push(ListedWorker {
                     id: text(own, "id").unwrap_or(&address).to_owned(),
                     address: address.parse().map_err(|_| format!("not an address: {address}"))?,
                     // As Envoy reads it: what is not told counts as healthy.
@@ -35,9 +35,9 @@
                     },
                     started_at: span(own, "started_at_ms"),
                     zone: zone.to_owned(),
-                    kind: text(own, "kind").unwrap_or_default().to_owned(),
+                    machine_kind: text(own, "kind").unwrap_or_default().to_owned(),
                     cell: whole(own, "cell").unwrap_or(0),
-                    speech: Speech::Kserve,
+                    protocol: WorkerProtocol::Kserve,
                 });
             }
         }
--- a/heronslip/src/http.rs
+++ b/heronslip/src/http.rs
@@ -1,51 +1,55 @@
-//! The HTTP/1.1 that is spoken beside the main protocol: heads by httparse, bodies by length or in chunks.
+//! The parts of HTTP/1.1 that KServe v2, the administration API and discovery need: message heads, parsed by
+//! httparse, and the chunked transfer coding.
 
-/// What of a head matters here.
+/// Maximum bytes of the line that states a chunk's size.
+const MAX_CHUNK_SIZE_LINE: usize = 64;
+
+/// The fields of a message head that matter here.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
     /// Method of a request.
     pub method: String,
     /// Target of a request.
     pub target: String,
-    /// Status of an answer.
+    /// Status of a response.
     pub status: u16,
-    /// The body's length, where told.
+    /// The body's length, if stated.
     pub length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body uses the chunked transfer coding.
     pub chunked: bool,
-    /// Whether the connection ends with this exchange.
+    /// Whether the connection closes after this exchange.
     pub close: bool,
-    /// Whether the client waits to be told to go on.
-    pub expects: bool,
+    /// Whether the client expects a `100 Continue` before it sends the body.
+    pub expects_continue: bool,
 }
 
 impl Head {
-    /// The head of a request; `head` ends with the empty line.
-    pub fn request(head: &[u8]) -> Result<Head, String> {
+    /// Parses the head of a request; `head` includes the empty line at its end.
+    pub fn parse_request(head: &[u8]) -> Result<Head, String> {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut request = httparse::Request::new(&mut headers);
         request.parse(head).map_err(|e| e.to_string())?;
-        let word = |w: Option<&str>| w.unwrap_or_default().to_owned();
-        let (method, target) = (word(request.method), word(request.path));
+        let owned = |text: Option<&str>| text.unwrap_or_default().to_owned();
+        let (method, target) = (owned(request.method), owned(request.path));
         let close = request.version == Some(0);
-        Head { method, target, close, ..Head::default() }.fields(request.headers)
+        Head { method, target, close, ..Head::default() }.with_headers(request.headers)
     }
 
-    /// The head of an answer.
-    pub fn answer(head: &[u8]) -> Result<Head, String> {
+    /// Parses the head of a response; `head` includes the empty line at its end.
+    pub fn parse_response(head: &[u8]) -> Result<Head, String> {
         let mut headers = [httparse::EMPTY_HEADER; 64];
-        let mut answer = httparse::Response::new(&mut headers);
-        answer.parse(head).map_err(|e| e.to_string())?;
-        let close = answer.version == Some(0);
-        Head { status: answer.code.unwrap_or(0), close, ..Head::default() }.fields(answer.headers)
+        let mut response = httparse::Response::new(&mut headers);
+        response.parse(head).map_err(|e| e.to_string())?;
+        let close = response.version == Some(0);
+        Head { status: response.code.unwrap_or(0), close, ..Head::default() }.with_headers(response.headers)
     }
 
-    fn fields(mut self, headers: &[httparse::Header]) -> Result<Head, String> {
+    fn with_headers(mut self, headers: &[httparse::Header]) -> Result<Head, String> {
         for header in headers {
             let value = String::from_utf8_lossy(header.value).trim().to_ascii_lowercase();
             match header.name.to_ascii_lowercase().as_str() {
                 "content-length" => {
-                    // Guards against request smuggling: two lengths that differ, or a length that is none.
+                    // Differing or malformed lengths would allow request smuggling.
                     let length = value.parse().map_err(|_| "bad Content-Length")?;
                     if self.length.is_some_and(|known| known != length) {
                         return Err("two lengths".to_owned());
@@ -54,7 +58,7 @@
                 }
                 "transfer-encoding" => self.chunked = value == "chunked",
                 "connection" => self.close = value == "close" || self.close && value != "keep-alive",
-                "expect" => self.expects = value == "100-continue",
+                "expect" => self.expects_continue = value == "100-continue",
                 _ => {}
             }
         }
@@ -65,51 +69,52 @@
     }
 }
 
-/// What a byte of the chunked coding stands for.
+/// The meaning of one byte of a chunked body.
 #[derive(Debug, PartialEq)]
-pub enum Coded {
-    /// Content.
-    Byte(u8),
-    /// Part of the coding.
-    Nothing,
-    /// The last chunk has begun.
+pub enum ChunkedItem {
+    /// A byte of the content.
+    Content(u8),
+    /// A byte of the coding itself.
+    Framing,
+    /// The last byte of the size line of the last chunk.
     End,
 }
 
-/// Undoes the chunked transfer coding, byte by byte.
+/// Decodes the chunked transfer coding byte by byte.
 #[derive(Default)]
-pub struct Chunked {
-    left: usize,
-    line: Vec<u8>,
+pub struct ChunkedDecoder {
+    /// Bytes left of the current chunk.
+    remaining: usize,
+    size_line: Vec<u8>,
 }
 
-impl Chunked {
-    /// Takes the next byte.
-    pub fn byte(&mut self, byte: u8) -> Result<Coded, String> {
-        if self.left > 0 {
-            self.left -= 1;
-            return Ok(Coded::Byte(byte));
+impl ChunkedDecoder {
+    /// Decodes the next byte.
+    pub fn decode(&mut self, byte: u8) -> Result<ChunkedItem, String> {
+        if self.remaining > 0 {
+            self.remaining -= 1;
+            return Ok(ChunkedItem::Content(byte));
         }
         match byte {
-            b'\n' if self.line.is_empty() => {} // the line end behind a chunk
+            b'\n' if self.size_line.is_empty() => {} // the line end after a chunk
             b'\n' => {
-                let line = String::from_utf8_lossy(&self.line).into_owned();
+                let line = String::from_utf8_lossy(&self.size_line).into_owned();
                 let size = line.split(';').next().unwrap_or_default().trim();
-                self.left = usize::from_str_radix(size, 16).map_err(|_| "bad chunk size")?;
-                self.line.clear();
-                if self.left == 0 {
-                    return Ok(Coded::End);
+                self.remaining = usize::from_str_radix(size, 16).map_err(|_| "invalid chunk size")?;
+                self.size_line.clear();
+                if self.remaining == 0 {
+                    return Ok(ChunkedItem::End);
                 }
             }
             b'\r' => {}
-            _ if self.line.len() > 64 => return Err("bad chunk size".to_owned()),
-            _ => self.line.push(byte),
+            _ if self.size_line.len() > MAX_CHUNK_SIZE_LINE => return Err("invalid chunk size".to_owned()),
+            _ => self.size_line.push(byte),
         }
-        Ok(Coded::Nothing)
+        Ok(ChunkedItem::Framing)
     }
 }
 
-/// An answer as bytes.
+/// Encodes a response with a JSON body. `headers` are further header lines, each with its line end.
 pub fn response(status: &str, headers: &str, body: &[u8], close: bool) -> Vec<u8> {
     let connection = if close { "Connection: close\r\n" } else { "" };
     let length = body.len();
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -1,8 +1,10 @@
-//! The front end round the decision module: fronts parse, the core owns the module, transports carry.
+//! A front end around the decision controller of `heronslip_policy`: servers for the client protocols, the
+//! core that owns the controller, transports to the workers, and discovery of the workers.
 //!
-//! The life of a request: a front reads it whole and hands it to the core's queue; the core tells the module and
-//! carries out its actions; a transport writes the attempt to a worker and reports how it ended; the core gives
-//! the one final answer to the client's outbox, which writes it.
+//! A request goes through these steps: a client protocol server reads it and passes it to the core's queue.
+//! The core passes it to the controller and performs the controller's actions. A transport sends each attempt
+//! to a worker and reports how it ended. The core sends the final response to the outbox of the client's
+//! connection, which writes it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,47 +13,50 @@
 pub mod config;
 pub mod core;
 pub mod discovery;
-pub mod front;
 pub mod http;
 pub mod limits;
 pub mod messages;
 pub mod net;
 pub mod ring;
+pub mod server;
 pub mod shutdown;
 pub mod worker;
 
-use crate::core::{Core, Shared};
-use crate::messages::{Message, Speech};
+use crate::core::{Core, SharedState};
+use crate::messages::{Message, WorkerProtocol};
 use config::Config;
 use discovery::{EventError, Follower, ListEvent};
-use front::{Acceptor, FrontContext};
-use limits::Budget;
+use limits::MemoryBudget;
 use may::net::TcpListener;
 use nix::errno::Errno;
+use server::{Acceptor, ServerContext};
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
-/// Runs one front end until it has been told to stop and nothing is open.
+/// Stack of a coroutine that accepts connections, in bytes.
+const ACCEPTOR_STACK: usize = 64 * 1024;
+
+/// Runs a front end until it has been signalled to stop and no request is open.
 pub fn run(config: Config, signals: signal_hook::iterator::Signals) -> Result<(), String> {
     let limits = Arc::new(config.limits);
-    net::schedule(&limits);
+    net::configure_scheduler(&limits);
     let (queue, inbox) = mpsc::channel();
-    let shared = Arc::new(Shared::default());
-    let context = FrontContext {
+    let shared = Arc::new(SharedState::default());
+    let context = ServerContext {
         core: queue.clone(),
         limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
-        permits: net::Permits::new(limits.client_connections),
-        unsent: Arc::default(),
+        memory_budget: MemoryBudget::new(limits.buffered_bytes),
+        connection_limiter: net::ConnectionLimiter::new(limits.client_connections),
+        unsent_bytes: Arc::default(),
         shared: shared.clone(),
-        reading: Arc::default(),
+        incoming_requests: Arc::default(),
         closing: Arc::new(AtomicBool::new(false)),
     };
     let reports = worker::Reports(queue.clone());
     let core = Core::new(config.settings, config.seed, limits.clone(), inbox, reports, shared);
-    // The module would be half-changed after a panic: a front end without its core must not go on.
+    // A panic leaves the controller half-changed, and a front end without its core must not continue.
     std::thread::Builder::new()
         .name("core".to_owned())
         .spawn(move || {
@@ -59,84 +64,92 @@
                 std::process::abort();
             }
         })
-        .map_err(|e| format!("core thread: {e}"))?;
-    let board = Arc::new(discovery::Board::new(config.board));
-    let follower = known(config.known, config.known_to, Follower::new(&limits, queue.clone()));
-    let (own, within, seed) = (board.clone(), limits.clone(), config.seed);
-    net::spawn(limits.stack, move || discovery::follow(&own, follower, &within, seed))
-        .map_err(|e| format!("board: {e}"))?;
-    let main = listen(config.listen, &context, "fastcgi", front::fastcgi::serve)?;
-    announce(&config.name, &main);
-    let mut listeners = vec![main];
+        .map_err(|e| format!("cannot start the core thread: {e}"))?;
+    let board = Arc::new(discovery::Board::new(config.discovery_address));
+    let follower = Follower::new(&limits, queue.clone());
+    let follower = apply_initial_events(config.initial_events, config.last_initial_event, follower);
+    let (followed, follower_limits, seed) = (board.clone(), limits.clone(), config.seed);
+    net::spawn(limits.coroutine_stack, move || {
+        discovery::follow(&followed, follower, &follower_limits, seed)
+    })
+    .map_err(|e| format!("cannot start discovery: {e}"))?;
+    let fastcgi = listen(config.listen, &context, "fastcgi", server::fastcgi::serve)?;
+    log_listener(&config.name, &fastcgi);
+    let mut listeners = vec![fastcgi];
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
-            let members = discovery::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
-            let _ = queue.send(Message::Members { source: Speech::Kserve, full: true, members });
+            let workers = discovery::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            let _ = queue.send(Message::WorkerList { source: WorkerProtocol::Kserve, full: true, workers });
         }
-        let front = listen(kserve.listen, &context, "kserve", front::kserve::serve)?;
-        announce("KServe v2", &front);
-        listeners.push(front);
+        let listener = listen(kserve.listen, &context, "kserve", server::kserve::serve)?;
+        log_listener("KServe v2", &listener);
+        listeners.push(listener);
         if let Some(admin) = kserve.admin {
-            let front = listen(admin, &context, "admin", front::kserve::serve_admin)?;
-            announce("administration", &front);
-            listeners.push(front);
+            let listener = listen(admin, &context, "admin", server::kserve::serve_admin)?;
+            log_listener("administration", &listener);
+            listeners.push(listener);
         }
     }
-    shutdown::wait(signals, &listeners, &context, &board)
+    shutdown::run_until_shutdown(signals, &listeners, &context, &board)
 }
 
-/// Takes over the events that the configuration tells. What could not be read is asked for again: the board tells
-/// all it knows to whoever knows nothing.
-fn known(events: Vec<Result<ListEvent, EventError>>, to: u64, mut follower: Follower) -> Follower {
-    let mut sound = true;
+/// Applies the events from the configuration. If one could not be read, the follower starts at event 0, and
+/// the discovery service sends the whole list again.
+fn apply_initial_events(
+    events: Vec<Result<ListEvent, EventError>>, last_event: u64, mut follower: Follower,
+) -> Follower {
+    let mut all_readable = true;
     for event in events {
         match event {
-            Ok(event) => sound &= follower.take_known(event),
-            Err(why) => {
-                sound = false;
-                log!("start: known event skipped: {why}");
+            Ok(event) => all_readable &= follower.take_known(event),
+            Err(error) => {
+                all_readable = false;
+                log!("start: skipped an event of the configuration: {error}");
             }
         }
     }
-    follower.known_to(if sound { to } else { 0 });
+    follower.known_to(if all_readable { last_event } else { 0 });
     follower
 }
 
-fn announce(name: &str, acceptor: &Acceptor) {
+fn log_listener(name: &str, acceptor: &Acceptor) {
     let address = acceptor.listener.local_addr().map_or("?".to_owned(), |a| a.to_string());
     log!("start: {name} listens on {address}");
 }
 
-/// Binds a listener, and tries again for a while: descriptors and memory may be short for a moment, and the address
-/// may still be held by the process that ended before this one.
+/// Binds a listener. Retries for a while if descriptors or memory are short, or if the address is still in
+/// use by a process that ended just before.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
-    const TRIES: u32 = 400;
-    const PAUSE: Duration = Duration::from_millis(20);
-    for _ in 1..TRIES {
+    const MAX_TRIES: u32 = 400;
+    const RETRY_DELAY: Duration = Duration::from_millis(20);
+    for _ in 1..MAX_TRIES {
         match TcpListener::bind(address) {
-            Err(e) if is_momentary(&e) => note!("start: {address}: {e}"),
-            bound => return bound,
+            Err(e) if is_transient(&e) => {
+                log_limited!("start: cannot listen on {address} yet, retrying: {e}")
+            }
+            result => return result,
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
     TcpListener::bind(address)
 }
 
-/// Whether a failure to bind may pass by itself.
-fn is_momentary(error: &std::io::Error) -> bool {
+/// Whether a failure to bind may go away by itself.
+fn is_transient(error: &std::io::Error) -> bool {
     let error = error.raw_os_error().map(Errno::from_raw);
-    let short = matches!(error, Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM));
-    short || matches!(error, Some(Errno::EINTR | Errno::EADDRINUSE | Errno::EADDRNOTAVAIL))
+    let out_of_resources =
+        matches!(error, Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM));
+    out_of_resources || matches!(error, Some(Errno::EINTR | Errno::EADDRINUSE | Errno::EADDRNOTAVAIL))
 }
 
 fn listen(
-    address: SocketAddr, context: &FrontContext, name: &'static str,
-    serve: fn(net::Socket, &FrontContext, net::Permit),
+    address: SocketAddr, context: &ServerContext, name: &'static str,
+    serve: fn(net::Socket, &ServerContext, net::ConnectionPermit),
 ) -> Result<Acceptor, String> {
-    let listener = bind(address).map_err(|e| format!("{address}: {e}"))?;
-    let (acceptor, context) = (Acceptor::new(listener), context.clone());
-    let inside = acceptor.clone();
-    let accept = move || front::accept(&inside, &context, name, serve);
-    net::spawn(64 * 1024, accept).map_err(|e| format!("{address}: {e}"))?;
+    let error = |e: std::io::Error| format!("cannot listen on {address}: {e}");
+    let acceptor = Acceptor::new(bind(address).map_err(error)?);
+    let (accepting, context) = (acceptor.clone(), context.clone());
+    let accept = move || server::accept_connections(&accepting, &context, name, serve);
+    net::spawn(ACCEPTOR_STACK, accept).map_err(error)?;
     Ok(acceptor)
 }
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -1,227 +1,245 @@
-//! All sizes, counts and times of the program, filled once at the start and handed down.
+//! All sizes, counts and times of the process, computed once at the start.
 use heronslip_policy::{Micros, Settings};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Descriptors of the program's own: listeners, signals, scheduler, log and board, and room for connections
-/// that are just closing.
-const OWN: usize = 32;
+/// Descriptors for other uses than connections to clients and workers: listeners, signals, the scheduler, the
+/// log, the discovery connection, and some room for connections that are being closed.
+const RESERVED_DESCRIPTORS: usize = 32;
 
 /// Sizes, counts and times.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most bytes of a request's body.
-    pub body: usize,
-    /// Most bytes of the parameters or headers of a request.
-    pub head: usize,
-    /// Most bytes of a worker's answer.
-    pub answer: usize,
-    /// Open requests on one client connection.
+    /// Maximum bytes of a request's body.
+    pub max_body: usize,
+    /// Maximum bytes of a message's head: the parameters or headers of a request, or the headers of an HTTP
+    /// response.
+    pub max_head: usize,
+    /// Maximum bytes of a worker's reply.
+    pub max_reply: usize,
+    /// Maximum open requests on one client connection.
     pub requests_per_connection: usize,
-    /// Client connections held at once, over all fronts.
+    /// Maximum client connections over all listeners.
     pub client_connections: usize,
-    /// Connections to workers held at once.
+    /// Maximum connections to workers.
     pub worker_connections: usize,
-    /// Bytes of bodies and unsent answers held over all requests.
-    pub held_bytes: usize,
-    /// Bytes of answers that may wait on one client connection.
-    pub unsent_per_connection: usize,
-    /// Size of a client connection's rings.
-    pub client_ring: usize,
-    /// Size of a worker connection's rings.
-    pub worker_ring: usize,
-    /// A client connection that has asked for nothing of use closes after this.
-    pub first_request: Duration,
-    /// A request must have come whole within this from its first byte.
-    pub request_read: Duration,
-    /// A client connection on which nothing is owed closes after this; usual clients close at 4 s.
-    pub client_idle: Duration,
-    /// How often a client connection looks at these times.
-    pub client_check: Duration,
-    /// Bytes read of what has been answered as unfit before its connection closes.
-    pub discard: usize,
-    /// Longest wait that a client may name.
-    pub longest_wait: Micros,
-    /// Most MB that a copy may be said to take.
-    pub memory_mb: f64,
-    /// Most lanes that a copy may be said to have.
-    pub lanes: f64,
+    /// Maximum bytes of request bodies and unsent responses over all requests.
+    pub buffered_bytes: usize,
+    /// Maximum bytes of unsent responses on one client connection.
+    pub max_unsent_per_connection: usize,
+    /// Capacity of a client connection's ring buffers, in bytes.
+    pub client_buffer: usize,
+    /// Capacity of a worker connection's ring buffers, in bytes.
+    pub worker_buffer: usize,
+    /// A client connection without a valid request closes after this time.
+    pub first_request_timeout: Duration,
+    /// Maximum time from a request's first byte to its last.
+    pub request_read_timeout: Duration,
+    /// A client connection without an open request closes after this time. Common clients close after 4 s.
+    pub client_idle_timeout: Duration,
+    /// How often a client connection checks these timeouts.
+    pub client_check_interval: Duration,
+    /// Maximum bytes read and discarded of rejected requests before their connection closes.
+    pub max_discarded: usize,
+    /// Maximum wait that a client may state.
+    pub max_wait: Micros,
+    /// Maximum memory in MB that a client may state for a copy.
+    pub max_copy_memory_mb: f64,
+    /// Maximum lanes that a client may state for a copy.
+    pub max_copy_lanes: f64,
     /// Stack of a coroutine, in bytes.
-    pub stack: usize,
-    /// Most of a client's wait that is kept for the way of its answer: the module never hears of it.
-    pub answer_margin: Micros,
-    /// What a v2 client waits that does not say.
+    pub coroutine_stack: usize,
+    /// Maximum part of a client's wait that is reserved for sending the response. The controller never sees
+    /// it.
+    pub max_response_margin: Micros,
+    /// Wait of a KServe v2 client that states none.
     pub default_wait: Micros,
-    /// Connections to one v2 worker: each carries one exchange at a time.
-    pub lanes_per_worker: usize,
-    /// Attempts that one worker connection carries together.
-    pub streams: usize,
-    /// A connection to a worker must stand within this.
-    pub connect: Duration,
-    /// Our idle worker connections close after this, before the worker's side does.
-    pub worker_idle: Duration,
-    /// A write that moves nothing for this long gives its connection up.
-    pub write_stall: Duration,
-    /// An answer of which nothing more comes for this long has stopped short.
-    pub frame_stall: Duration,
-    /// A worker connection with something open that is quiet for this long is asked for a word, ...
-    pub link_quiet: Duration,
-    /// ... and has ended if none comes within this.
-    pub link_answer: Duration,
-    /// How often worker connections are looked at for that.
-    pub link_check: Micros,
-    /// How often a stalled write looks for cancels and drains.
-    pub write_check: Duration,
-    /// A probe unanswered for this long has timed out.
-    pub probe: Micros,
-    /// An order unanswered for this long has timed out.
-    pub order: Micros,
-    /// A notice board silent for this long (it comments each second) is called anew.
-    pub board_silence: Duration,
-    /// How often the wait for the board looks whether the board has moved.
-    pub board_check: Duration,
-    /// The wait before the board is called again is drawn from up to this at first, ...
-    pub board_retry: Duration,
-    /// ... and from up to this at last: what the board has to tell counts as told 2 s after a break.
-    pub board_retry_most: Duration,
-    /// Most bytes of one entry of the board's list.
-    pub board_entry: usize,
-    /// Most entries of one event of the board.
-    pub board_entries: usize,
-    /// What comes so long after SIGTERM is refused at once: clients stop sending new requests before, and the kill may
-    /// come soon after what comes later counts as lost with it, at 0.7 s.
-    pub stop_serving: Duration,
-    /// After SIGTERM the listeners stay open this long.
-    pub stop_listening: Duration,
-    /// The program ends at the latest so long after its listeners have closed.
-    pub stop_at_last: Duration,
+    /// Maximum connections to one KServe v2 worker. Each carries one exchange at a time.
+    pub connections_per_kserve_worker: usize,
+    /// Maximum concurrent attempts on one worker connection of the platform's protocol.
+    pub streams_per_connection: usize,
+    /// Maximum time to establish a connection to a worker.
+    pub connect_timeout: Duration,
+    /// An idle worker connection closes after this time, before the worker closes it.
+    pub worker_idle_timeout: Duration,
+    /// A connection on which a write makes no progress for this time is closed.
+    pub write_stall_timeout: Duration,
+    /// A connection on which a partly read reply makes no progress for this time is closed.
+    pub reply_stall_timeout: Duration,
+    /// A worker connection with open exchanges that is silent for this time gets a liveness check message.
+    pub liveness_check_after: Duration,
+    /// A worker connection without a reply to a liveness check within this time is closed.
+    pub liveness_check_timeout: Duration,
+    /// How often the core looks for worker connections that need a liveness check.
+    pub liveness_poll_interval: Micros,
+    /// How often a stalled write looks for cancellations and drains.
+    pub write_check_interval: Duration,
+    /// Timeout of a probe.
+    pub probe_timeout: Micros,
+    /// Timeout of a load command or copy query.
+    pub load_command_timeout: Micros,
+    /// The connection to the discovery service, which sends a comment each second, is renewed after this
+    /// silence.
+    pub discovery_silence_timeout: Duration,
+    /// How often a wait for the discovery service checks whether its address has changed.
+    pub discovery_check_interval: Duration,
+    /// Upper bound of the random delay before the first reconnection to the discovery service.
+    pub discovery_initial_backoff: Duration,
+    /// Upper bound of the random delay before later reconnections. All that the discovery service has to
+    /// report counts as received 2 s after a lost connection.
+    pub discovery_max_backoff: Duration,
+    /// Maximum bytes of one entry of the discovery service's worker list.
+    pub discovery_max_entry_bytes: usize,
+    /// Maximum entries of one event of the discovery service.
+    pub discovery_max_entries: usize,
+    /// Requests that arrive later than this after SIGTERM are refused at once. Clients stop sending new
+    /// requests before. The process may be killed soon after, and what arrives later than 0.7 s counts as
+    /// lost with it.
+    pub shutdown_serve_time: Duration,
+    /// The listeners close this long after SIGTERM.
+    pub shutdown_listen_time: Duration,
+    /// Maximum time from closing the listeners to the end of the process.
+    pub shutdown_timeout: Duration,
 }
 
 impl Limits {
-    /// From the platform's memory and descriptor limits and the settings.
+    /// Computes the limits from the platform's limits on memory and descriptors and from the settings.
     pub fn new(memory_mb: u64, sockets: u64, settings: &Settings) -> Self {
-        // A connection takes one descriptor. Usual clients hold a third of all at most, idle ones may come on
-        // top; the rest is the workers', of which there may be many, and the program's own.
+        // Each connection takes one descriptor. Common clients use at most a third of all, and idle
+        // connections may be open besides. The rest is for workers, of which there may be many, and for this
+        // process itself.
         let sockets = sockets.clamp(64, 1 << 20) as usize;
         let memory = memory_mb.clamp(32, 1 << 20) as usize * 1024 * 1024;
-        let span =
-            |told: Micros, else_ms: u64| Duration::from_micros(if told > 0 { told } else { else_ms * 1000 });
-        let longest = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
+        let duration_or = |configured: Micros, default_ms: u64| {
+            Duration::from_micros(if configured > 0 { configured } else { default_ms * 1000 })
+        };
+        let longest_give_up = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
         let client_connections = sockets * 2 / 5;
-        let idle = span(settings.connection_idle, 15_000);
-        let connect = span(settings.connect_timeout, 250);
-        let link_answer = Duration::from_millis(200);
+        let idle = duration_or(settings.connection_idle, 15_000);
+        let connect_timeout = duration_or(settings.connect_timeout, 250);
+        let liveness_check_timeout = Duration::from_millis(200);
         Limits {
-            body: 16 * 1024,
-            head: 16 * 1024,
-            answer: 1024 * 1024,
+            max_body: 16 * 1024,
+            max_head: 16 * 1024,
+            max_reply: 1024 * 1024,
             requests_per_connection: 32,
             client_connections,
-            worker_connections: sockets - client_connections - OWN,
-            held_bytes: memory / 4, // an attempt's frame is a second copy, and rings and stacks come on top
-            unsent_per_connection: 1024 * 1024,
-            client_ring: 8 * 1024,
-            worker_ring: 64 * 1024,
-            first_request: Duration::from_millis(2_000), // whoever says nothing is owed a close within 3 s
-            request_read: Duration::from_millis(2_000),
-            client_idle: Duration::from_millis(5_000),
-            client_check: Duration::from_millis(250),
-            discard: 64 * 1024,
-            longest_wait: longest.max(600_000_000),
-            memory_mb: 1e6,
-            lanes: 1024.0,
-            stack: 64 * 1024,
-            streams: if settings.streams_per_connection > 0 {
+            worker_connections: sockets - client_connections - RESERVED_DESCRIPTORS,
+            // An attempt's frame is a second copy of the body, and buffers and stacks need memory too.
+            buffered_bytes: memory / 4,
+            max_unsent_per_connection: 1024 * 1024,
+            client_buffer: 8 * 1024,
+            worker_buffer: 64 * 1024,
+            // A silent connection must be closed within 3 s.
+            first_request_timeout: Duration::from_millis(2_000),
+            request_read_timeout: Duration::from_millis(2_000),
+            client_idle_timeout: Duration::from_millis(5_000),
+            client_check_interval: Duration::from_millis(250),
+            max_discarded: 64 * 1024,
+            max_wait: longest_give_up.max(600_000_000),
+            max_copy_memory_mb: 1e6,
+            max_copy_lanes: 1024.0,
+            coroutine_stack: 64 * 1024,
+            streams_per_connection: if settings.streams_per_connection > 0 {
                 settings.streams_per_connection as usize
             } else {
                 100
             },
-            answer_margin: 80_000,
+            max_response_margin: 80_000,
             default_wait: 4_000_000,
-            lanes_per_worker: (sockets / 128).max(2),
-            connect,
-            worker_idle: idle.saturating_sub(idle / 5),
-            write_stall: Duration::from_secs(5),
-            frame_stall: Duration::from_millis(200),
-            link_quiet: word_after(settings),
-            link_answer,
-            link_check: 50_000,
-            write_check: Duration::from_millis(50),
-            // A connection for it may have to be opened first; its answer is a link's word like any other.
-            probe: (connect + link_answer).as_micros() as Micros,
-            order: if settings.order_timeout > 0 { settings.order_timeout } else { 10_000_000 },
-            board_silence: Duration::from_millis(2_500), // what a silent board has to tell counts 4 s on
-            board_check: Duration::from_millis(50),
-            board_retry: Duration::from_millis(100),
-            board_retry_most: Duration::from_millis(1_000),
-            board_entry: 4 * 1024,
-            board_entries: memory / 1024, // what is kept of a worker takes more than that
-            stop_serving: Duration::from_millis(650),
-            stop_listening: Duration::from_millis(700),
-            // What came last before the listeners closed may take as long as any.
-            stop_at_last: span(longest, 10_000).max(Duration::from_secs(3)),
+            connections_per_kserve_worker: (sockets / 128).max(2),
+            connect_timeout,
+            worker_idle_timeout: idle.saturating_sub(idle / 5),
+            write_stall_timeout: Duration::from_secs(5),
+            reply_stall_timeout: Duration::from_millis(200),
+            liveness_check_after: liveness_check_after(settings),
+            liveness_check_timeout,
+            liveness_poll_interval: 50_000,
+            write_check_interval: Duration::from_millis(50),
+            // A probe may first need a new connection; its reply takes as long as that to a liveness check.
+            probe_timeout: (connect_timeout + liveness_check_timeout).as_micros() as Micros,
+            load_command_timeout: if settings.order_timeout > 0 {
+                settings.order_timeout
+            } else {
+                10_000_000
+            },
+            // What a silent discovery service has to report counts as received after 4 s.
+            discovery_silence_timeout: Duration::from_millis(2_500),
+            discovery_check_interval: Duration::from_millis(50),
+            discovery_initial_backoff: Duration::from_millis(100),
+            discovery_max_backoff: Duration::from_millis(1_000),
+            discovery_max_entry_bytes: 4 * 1024,
+            discovery_max_entries: memory / 1024, // the state kept of one worker takes more than 1 KiB
+            shutdown_serve_time: Duration::from_millis(650),
+            shutdown_listen_time: Duration::from_millis(700),
+            // A request accepted just before the listeners close may take as long as any other.
+            shutdown_timeout: duration_or(longest_give_up, 10_000).max(Duration::from_secs(3)),
         }
     }
 }
 
 impl Limits {
-    /// The part of a wait that is kept for the way of the answer. Guards short waits: most of each is the worker's.
-    pub fn margin(&self, wait: Micros) -> Micros {
-        self.answer_margin.min(wait / 8)
+    /// The part of a client's wait that is reserved for sending the response: at most an eighth, so that most
+    /// of a short wait is left to the worker.
+    pub fn response_margin(&self, wait: Micros) -> Micros {
+        self.max_response_margin.min(wait / 8)
     }
 }
 
-/// Such questions are answered in a few ms under load too, but each is priced like a probe. One that may cost
-/// more than a hundredth of a call waits until the call it is for is long late: with many front ends a
-/// connection carries one call at a time, and is quiet whenever that takes long.
-fn word_after(settings: &Settings) -> Duration {
-    let usual = Duration::from_millis(200);
-    let late = settings.classes.iter().map(|c| 2 * c.aim).max().map_or(usual, Duration::from_micros);
+/// Silence after which a worker connection gets a liveness check.
+///
+/// Workers answer one within a few ms under load too, but each costs as much as a probe. Where that is more
+/// than a hundredth of a call's worth, the check is sent only when the call on the connection is far beyond
+/// its aim: with many front ends a connection carries one call at a time and is silent whenever that call
+/// takes long.
+fn liveness_check_after(settings: &Settings) -> Duration {
+    let default = Duration::from_millis(200);
+    let late = settings.classes.iter().map(|c| 2 * c.aim).max().map_or(default, Duration::from_micros);
     if settings.probe_price > 0.01 {
-        late.max(usual)
+        late.max(default)
     } else {
-        usual
+        default
     }
 }
 
-/// Counts the bytes held over all requests against one bound.
+/// Bounds the bytes buffered for all requests together.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct MemoryBudget {
     used: Arc<AtomicUsize>,
-    most: usize,
+    limit: usize,
 }
 
-impl Budget {
-    /// A budget of so many bytes.
-    pub fn new(most: usize) -> Self {
-        Budget { used: Arc::default(), most }
+impl MemoryBudget {
+    /// A budget of `limit` bytes.
+    pub fn new(limit: usize) -> Self {
+        MemoryBudget { used: Arc::default(), limit }
     }
 
-    /// Takes bytes from the budget, or nothing if they are not there.
-    pub fn take(&self, bytes: usize) -> Option<Held> {
-        let before = self.used.fetch_add(bytes, Ordering::Relaxed);
-        let held = Held { budget: self.clone(), bytes };
-        (before + bytes <= self.most).then_some(held)
+    /// Reserves bytes, or nothing if fewer are available.
+    pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
+        let used_before = self.used.fetch_add(bytes, Ordering::Relaxed);
+        let reservation = Reservation { budget: self.clone(), bytes };
+        (used_before + bytes <= self.limit).then_some(reservation)
     }
 
-    /// Bytes taken now.
+    /// Bytes that are reserved now.
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 }
 
-/// Bytes taken from a [`Budget`]; they go back when this is dropped.
+/// Bytes reserved in a [`MemoryBudget`]. Dropping it releases them.
 #[derive(Debug)]
-pub struct Held {
-    budget: Budget,
+pub struct Reservation {
+    budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Held {
-    /// Takes more bytes; false, and nothing taken, if they are not there.
+impl Reservation {
+    /// Reserves more bytes. Returns false, and reserves nothing, if fewer are available.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        match self.budget.take(bytes) {
+        match self.budget.reserve(bytes) {
             Some(mut more) => {
                 self.bytes += std::mem::take(&mut more.bytes);
                 true
@@ -231,7 +249,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.used.fetch_sub(self.bytes, Ordering::Relaxed);
     }
--- a/heronslip/src/messages.rs
+++ b/heronslip/src/messages.rs
@@ -1,13 +1,15 @@
-//! The messages between fronts, core, discovery and transports: requests, answers, reports and workers. No wire
-//! shows here, and nothing here depends on those who use it.
-use crate::limits::Held;
+//! Messages between the client protocol servers, the core, discovery and the worker transports: requests,
+//! responses, reports and worker lists. They are independent of any wire format and of the modules that
+//! exchange them.
+use crate::limits::Reservation;
 use heronslip_policy::{DiscoveryState, FunctionId, Micros, Outcome, WorkerState};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A body, opaque to the core. Transports carry it as it is, or wrap it for the other speech.
+/// A request or response body, opaque to the core. A transport passes it on as it is, or converts it if the
+/// worker uses the other protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// Bytes of the platform's protocol.
@@ -17,36 +19,37 @@
 }
 
 impl Payload {
-    /// The bytes as they stand.
+    /// The bytes, without any conversion.
     pub fn bytes(&self) -> &[u8] {
         match self {
-            Payload::Bytes(b) | Payload::Json(b) => b,
+            Payload::Bytes(bytes) | Payload::Json(bytes) => bytes,
         }
     }
 }
 
-/// Counts a request from its first byte until the core has it, so that a planned end waits for it.
+/// Counts a request from its first byte until the core has accepted or answered it, so that a graceful
+/// shutdown waits for it.
 #[derive(Debug)]
-pub struct Reading(Arc<AtomicUsize>);
+pub struct IncomingGuard(Arc<AtomicUsize>);
 
-impl Reading {
-    /// One more on this count.
-    pub fn start(count: &Arc<AtomicUsize>) -> Self {
-        count.fetch_add(1, Ordering::AcqRel);
-        Reading(count.clone())
+impl IncomingGuard {
+    /// Increments the counter until the guard is dropped.
+    pub fn new(counter: &Arc<AtomicUsize>) -> Self {
+        counter.fetch_add(1, Ordering::AcqRel);
+        IncomingGuard(counter.clone())
     }
 }
 
-impl Drop for Reading {
+impl Drop for IncomingGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// A client's request, read whole.
+/// A complete request of a client.
 #[derive(Debug)]
 pub struct Request {
-    /// The id that the client gave and workers see.
+    /// The id that the client chose and that workers receive.
     pub wire_id: u64,
     /// Name of its class.
     pub class: String,
@@ -54,136 +57,174 @@
     pub tenant: String,
     /// The function it calls.
     pub function: FunctionId,
-    /// How long the client waits, counted from `read_at`.
+    /// How long the client waits for the response, counted from `received_at`.
     pub wait: Micros,
     /// When its last byte was read.
-    pub read_at: Instant,
-    /// The idempotency key, in keyed classes.
-    pub token: Option<String>,
-    /// Whether the client repeats.
-    pub retry: bool,
-    /// Memory of a copy in MB; 0: not told.
+    pub received_at: Instant,
+    /// The idempotency key, required in keyed classes.
+    pub idempotency_key: Option<String>,
+    /// Whether the client marks it as a retry.
+    pub is_retry: bool,
+    /// Memory of one copy of the function, in MB; 0: not stated.
     pub memory_mb: f64,
-    /// Calls that a copy runs at a time; 0: not told.
+    /// Calls that one copy runs at the same time; 0: not stated.
     pub lanes: u32,
-    /// Usual time of a load; 0: not told.
+    /// Usual time to load a copy; 0: not stated.
     pub load_time: Micros,
     /// The body.
     pub payload: Payload,
-    /// The body's share of the bytes held.
-    pub held: Option<Held>,
-    /// Counts it for a planned end until the core does.
-    pub reading: Option<Reading>,
+    /// Bytes reserved for the body in the memory budget of all requests.
+    pub reservation: Option<Reservation>,
+    /// Counts the request for a graceful shutdown until the core does.
+    pub incoming: Option<IncomingGuard>,
 }
 
-/// The one final answer.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
-    /// A worker's body.
+pub enum Response {
+    /// The body that a worker returned.
     Served(Payload),
-    /// Refused: trying again is harmless, after this wait.
+    /// Refused before any worker ran it: the client may safely retry.
     Refused {
-        /// How long to stay away.
-        wait: Micros,
+        /// How long the client should wait before it retries.
+        retry_after: Micros,
     },
-    /// Failed: nothing is promised.
+    /// Failed: the call may or may not have run.
     Failed,
 }
 
-/// Where an answer goes: a client connection of some front.
+/// The client connection that a request arrived on and that its response is sent to.
 pub trait Client: Send + Sync {
-    /// Hands over the final answer to the request that was given in under this tag.
-    fn answer(&self, tag: u64, answer: Answer);
-    /// Which connection this is, unique in the program.
-    fn connection(&self) -> u64;
+    /// Sends the final response to the request with this tag. The tag identifies a request on its connection.
+    fn respond(&self, tag: u64, response: Response);
+    /// The connection's id, unique in the process.
+    fn connection_id(&self) -> u64;
 }
 
-/// Which attempt: the core's number of the request, and the attempt's.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The core's number of the request.
     pub request: u64,
-    /// The attempt, counted from 0.
+    /// Index among the request's attempts, from 0.
     pub attempt: usize,
 }
 
 /// How an attempt ended, as its transport saw it.
 #[derive(Debug, PartialEq)]
-pub struct Report {
+pub struct AttemptReport {
     /// The outcome.
     pub outcome: Outcome,
-    /// Whether a copy stood loaded, where told.
+    /// Whether a copy of the function was already loaded, if the worker reported it.
     pub warm: Option<bool>,
-    /// Requests of the function that the worker held, where told.
+    /// Requests of the same function at the worker, if it reported them.
     pub crowd: Option<u32>,
-    /// Requests that the worker reports to hold, where told.
+    /// Requests in flight at the worker, if it reported them.
     pub inflight: Option<f64>,
     /// The body, with `Ok`.
     pub payload: Option<Payload>,
 }
 
-impl Report {
-    /// An end without an answer.
-    pub fn bare(outcome: Outcome) -> Self {
-        Report { outcome, warm: None, crowd: None, inflight: None, payload: None }
+impl AttemptReport {
+    /// Reports an attempt that ended without a reply of the worker.
+    pub fn without_reply(outcome: Outcome) -> Self {
+        AttemptReport { outcome, warm: None, crowd: None, inflight: None, payload: None }
     }
 }
 
 /// The protocol that a worker speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speech {
+pub enum WorkerProtocol {
     /// The platform's binary frames.
     Frames,
     /// KServe v2 over HTTP/1.1.
     Kserve,
 }
 
-/// One member of the list of workers.
+/// One entry of a worker list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ListedWorker {
     /// Its name.
     pub id: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its state.
     pub state: WorkerState,
-    /// Time of a late start, by the wall clock of whoever listed it; 0: long ago. Only good to be compared.
+    /// When it started, if that was recently, on the wall clock of whoever listed it; 0: long ago. May only
+    /// be compared with other timestamps of the same list.
     pub started_at: Micros,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its machine kind's name.
-    pub kind: String,
+    /// Name of its machine kind.
+    pub machine_kind: String,
     /// Its cell.
     pub cell: u64,
-    /// What it speaks.
-    pub speech: Speech,
+    /// The protocol it speaks.
+    pub protocol: WorkerProtocol,
 }
 
-/// What reaches the core's queue.
+/// A message to the core.
 pub enum Message {
-    /// A request, the client it is owed to and the client's tag for it.
-    Request(Request, Arc<dyn Client>, u64),
-    /// The client gave up this request of this connection; no answer is owed.
-    Withdrawn(u64, u64),
-    /// A client connection ended; nothing is owed there.
-    Hangup(u64),
+    /// A client sent a request.
+    Request {
+        /// The request.
+        request: Request,
+        /// The connection that the response is sent to.
+        client: Arc<dyn Client>,
+        /// Identifies the request on that connection.
+        tag: u64,
+    },
+    /// The client cancelled a request; it gets no response.
+    RequestCancelled {
+        /// Id of the client connection.
+        connection: u64,
+        /// Identifies the request on that connection.
+        tag: u64,
+    },
+    /// A client connection ended; its open requests get no response.
+    ClientDisconnected {
+        /// Id of the client connection.
+        connection: u64,
+    },
     /// An attempt ended.
-    Ended(AttemptKey, Report),
-    /// An order to load ended: its number, outcome and the copies that stand.
-    Ordered(u64, Outcome, u32),
-    /// A probe ended: its number, outcome and the requests that the worker reports to hold.
-    Probed(u64, Outcome, Option<f64>),
-    /// Discovery of the platform's workers was lost, or is current.
+    AttemptEnded {
+        /// Which attempt.
+        key: AttemptKey,
+        /// How it ended.
+        report: AttemptReport,
+    },
+    /// A load command or copy query ended.
+    LoadEnded {
+        /// The core's number of the command.
+        command: u64,
+        /// How it ended.
+        outcome: Outcome,
+        /// Copies that are loaded at the worker.
+        copies: u32,
+    },
+    /// A probe ended.
+    ProbeEnded {
+        /// The core's number of the probe.
+        probe: u64,
+        /// How it ended.
+        outcome: Outcome,
+        /// Requests in flight at the worker, if it reported them.
+        inflight: Option<f64>,
+    },
+    /// Whether discovery of the platform's workers is current or lost.
     Discovery(DiscoveryState),
-    /// News of the list of workers of one source; `full` lists replace what that source told.
-    Members {
-        /// Which source told.
-        source: Speech,
-        /// Whether this is the whole list.
+    /// An update of the worker list of one source.
+    WorkerList {
+        /// The source, identified by the protocol of its workers.
+        source: WorkerProtocol,
+        /// Whether `workers` replaces all that this source listed before.
         full: bool,
-        /// The members.
-        members: Vec<Member>,
+        /// The listed workers.
+        workers: Vec<ListedWorker>,
+    },
+    /// Asks for the core's state: tenants, workers and counts, as JSON.
+    Inspect {
+        /// Receives the JSON text.
+        reply: may::sync::mpsc::Sender<String>,
     },
-    /// Asks for a report of tenants, members and counts, as JSON.
-    Inspect(may::sync::mpsc::Sender<String>),
 }
--- a/heronslip/src/net.rs
+++ b/heronslip/src/net.rs
@@ -1,6 +1,7 @@
-//! What all connections share: a writer coroutine with its ring, and the count of client connections.
-use crate::limits::{Budget, Held, Limits};
-use crate::ring::Ring;
+//! Parts that all connections share: coroutines, sockets, the writer of client connections and the limit on
+//! client connections.
+use crate::limits::{Limits, MemoryBudget, Reservation};
+use crate::ring::RingBuffer;
 use may::net::TcpStream;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use may::sync::Mutex;
@@ -11,308 +12,339 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
+/// First pause of a write that finds no room in the socket. Each further pause is twice as long.
+const MIN_WRITE_PAUSE: Duration = Duration::from_millis(1);
+/// Longest pause of a write that finds no room in the socket.
+const MAX_WRITE_PAUSE: Duration = Duration::from_millis(16);
+/// When the limit on client connections is reached, this fraction (1/16) of the limit is closed at a time.
+const IDLE_CLOSE_DIVISOR: usize = 16;
 
-/// A number that no other connection of the program has.
-pub fn connection_number() -> u64 {
-    CONNECTIONS.fetch_add(1, Ordering::Relaxed)
+static NEXT_CONNECTION_ID: AtomicU64 = AtomicU64::new(1);
+
+/// Returns an id that no other connection of the process has.
+pub fn next_connection_id() -> u64 {
+    NEXT_CONNECTION_ID.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Sets the scheduler of coroutines up; called before the first is run.
-pub fn schedule(limits: &Limits) {
-    // One core is ours: more scheduler threads would only take turns on it.
-    may::config().set_workers(1).set_stack_size(limits.stack / size_of::<usize>()).set_pool_capacity(64);
+/// Configures the coroutine scheduler. Must be called before the first coroutine starts.
+pub fn configure_scheduler(limits: &Limits) {
+    // The process has one CPU core: further scheduler threads would only take turns on it.
+    may::config()
+        .set_workers(1)
+        .set_stack_size(limits.coroutine_stack / size_of::<usize>())
+        .set_pool_capacity(64);
     may::config().set_worker_pin(false);
 }
 
-/// Runs a coroutine of this stack size. May's own default would be smaller and unstated.
+/// Starts a coroutine with a stack of this many bytes. May's default is smaller and undocumented.
 pub fn spawn(stack: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    // No shared state is left half-done by a panic: each connection's state belongs to its coroutines.
+    // A panic leaves no shared state half-changed: each connection's state belongs to its coroutines.
     let builder = may::coroutine::Builder::new().stack_size(stack / size_of::<usize>());
     may::go!(builder, run).map(|_| ())
 }
 
-/// Whether an error of a blocking call only means that its time was up.
-pub fn timed_out(e: &io::Error) -> bool {
+/// Whether an error of a blocking call only means that its time is up.
+pub fn is_timeout(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-const WRITE_PAUSES: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(16));
-
-/// A connection that one coroutine reads and another writes, through one descriptor. May lets a single
-/// coroutine wait on a descriptor: the reader is that one, and a writer that finds no room looks again after
-/// pauses. A second descriptor for the writer would halve the connections that fit under the platform's limit.
+/// A connection that one coroutine reads and another writes, through one descriptor.
+///
+/// May lets only one coroutine wait on a descriptor. That is the reader; a writer that finds no room tries
+/// again after pauses. A second descriptor for the writer would halve the number of connections within the
+/// platform's limit.
 #[derive(Clone)]
 pub struct Socket(Arc<TcpStream>);
 
 impl Socket {
-    /// Shares a connection.
+    /// Wraps a connection.
     pub fn new(stream: TcpStream) -> Self {
         Socket(Arc::new(stream))
     }
 
-    /// A read that brings nothing within this ends with an error; see [`timed_out`].
-    pub fn set_read_timeout(&self, within: Duration) -> io::Result<()> {
-        self.0.set_read_timeout(Some(within))
+    /// Sets the time after which a read without data ends with an error; see [`is_timeout`].
+    pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
+        self.0.set_read_timeout(Some(timeout))
     }
 
-    /// Where the other side is.
+    /// The address of the other side.
     pub fn peer_addr(&self) -> io::Result<SocketAddr> {
         self.0.peer_addr()
     }
 
-    /// Ends the connection both ways; whoever reads it sees the end.
+    /// Closes both directions; the reader sees the end of the stream.
     pub fn close(&self) {
-        let _ = self.0.shutdown(Shutdown::Both); // fails where the other side has ended it already
+        let _ = self.0.shutdown(Shutdown::Both); // fails if the other side has already closed the connection
     }
 
-    /// One write of at least a byte; an error, see [`timed_out`], if there is no room within this time.
-    pub fn write_within(&self, bytes: &[u8], within: Duration) -> io::Result<usize> {
-        let (since, mut pause) = (Instant::now(), WRITE_PAUSES.0);
+    /// Writes at least one byte. Fails, see [`is_timeout`], if the socket has no room within `timeout`.
+    pub fn write_within(&self, bytes: &[u8], timeout: Duration) -> io::Result<usize> {
+        let (start, mut pause) = (Instant::now(), MIN_WRITE_PAUSE);
         loop {
             match self.0.inner().write(bytes) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock && since.elapsed() < within => {
-                    may::coroutine::sleep(pause.min(within));
-                    pause = (2 * pause).min(WRITE_PAUSES.1);
+                Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < timeout => {
+                    may::coroutine::sleep(pause.min(timeout));
+                    pause = (2 * pause).min(MAX_WRITE_PAUSE);
                 }
-                ended => return ended,
+                result => return result,
             }
         }
     }
 }
 
 impl Read for Socket {
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         loop {
-            match self.0.inner().read(to) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.0.peek(&mut [0])?, // waits
-                ended => return ended,
+            match self.0.inner().read(buffer) {
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.0.peek(&mut [0])?, // waits for data
+                result => return result,
             };
         }
     }
 }
 
 enum Chunk {
-    Bytes(Vec<u8>, Option<Held>),
+    Bytes(Vec<u8>, Option<Reservation>),
     Close,
 }
 
-/// The sending side of a client connection: answers go in from any thread, a coroutine writes them.
+/// The sending side of a client connection. Any thread may queue responses; a coroutine writes them.
 #[derive(Clone)]
 pub struct Outbox {
     chunks: Sender<Chunk>,
-    waiting: Arc<AtomicUsize>,
-    unsent: Arc<AtomicUsize>,
-    budget: Budget,
-    most: usize,
-    little: usize,
+    queued_bytes: Arc<AtomicUsize>,
+    unsent_bytes: Arc<AtomicUsize>,
+    memory_budget: MemoryBudget,
+    max_queued: usize,
+    /// Bytes that may be queued even if the memory budget is exhausted.
+    unreserved_queued: usize,
 }
 
 impl Outbox {
-    /// Starts the writer of a connection, which keeps the permit until the last byte is written or given up: the
-    /// descriptor is taken as long. `unsent` counts bytes over all connections.
+    /// Starts the writer of a connection. It keeps the permit until the last byte is written or discarded,
+    /// since the descriptor stays in use as long. `unsent_bytes` counts the bytes over all connections.
     pub fn start(
-        stream: Socket, permit: Arc<Permit>, limits: &Arc<Limits>, budget: &Budget, unsent: &Arc<AtomicUsize>,
+        stream: Socket, permit: Arc<ConnectionPermit>, limits: &Arc<Limits>, memory_budget: &MemoryBudget,
+        unsent_bytes: &Arc<AtomicUsize>,
     ) -> io::Result<Outbox> {
         let (chunks, queue) = channel();
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let (most, little, stack) = (limits.unsent_per_connection, limits.client_ring, limits.stack);
-        let (unsent_all, budget) = (unsent.clone(), budget.clone());
-        let out = Outbox { chunks, waiting, unsent: unsent_all, budget, most, little };
-        let (limits, waiting, unsent) = (limits.clone(), out.waiting.clone(), out.unsent.clone());
+        let outbox = Outbox {
+            chunks,
+            queued_bytes: Arc::new(AtomicUsize::new(0)),
+            unsent_bytes: unsent_bytes.clone(),
+            memory_budget: memory_budget.clone(),
+            max_queued: limits.max_unsent_per_connection,
+            unreserved_queued: limits.client_buffer,
+        };
+        let stack = limits.coroutine_stack;
+        let (limits, queued_bytes, unsent_bytes) =
+            (limits.clone(), outbox.queued_bytes.clone(), unsent_bytes.clone());
         spawn(stack, move || {
-            write_out(stream, &queue, &limits, &waiting, &unsent);
+            write_chunks(stream, &queue, &limits, &queued_bytes, &unsent_bytes);
             drop(permit);
         })?;
-        Ok(out)
+        Ok(outbox)
     }
 
-    /// Queues bytes. A client that does not read what it is owed loses its connection, not others theirs. One
-    /// with little unread gets its answer whatever others hold: requests may fill the bytes held, and the body is
-    /// in memory already.
+    /// Queues bytes. Closes the connection of a client that does not read its responses, so that it does not
+    /// use up other clients' memory. A client with little unread data gets its response even if the memory
+    /// budget is exhausted: requests alone may exhaust it, and the response is in memory already.
     pub fn send(&self, bytes: Vec<u8>) {
         let len = bytes.len();
-        let waiting = self.waiting.load(Ordering::Relaxed);
-        let held = self.budget.take(len);
-        if held.is_none() && waiting > self.little || waiting + len > self.most.max(len) {
-            note!("client: closed, {waiting} bytes of answers wait unread");
+        let queued = self.queued_bytes.load(Ordering::Relaxed);
+        let reservation = self.memory_budget.reserve(len);
+        if reservation.is_none() && queued > self.unreserved_queued || queued + len > self.max_queued.max(len)
+        {
+            log_limited!("client: connection closed: {queued} bytes of responses are unread");
             return self.close();
         }
-        self.waiting.fetch_add(len, Ordering::Relaxed);
-        self.unsent.fetch_add(len, Ordering::AcqRel);
-        if self.chunks.send(Chunk::Bytes(bytes, held)).is_err() {
-            self.unsent.fetch_sub(len, Ordering::AcqRel);
+        self.queued_bytes.fetch_add(len, Ordering::Relaxed);
+        self.unsent_bytes.fetch_add(len, Ordering::AcqRel);
+        if self.chunks.send(Chunk::Bytes(bytes, reservation)).is_err() {
+            self.unsent_bytes.fetch_sub(len, Ordering::AcqRel);
         }
     }
 
-    /// Closes the connection once what is queued has been written.
+    /// Closes the connection once the queued bytes have been written.
     pub fn close(&self) {
-        let _ = self.chunks.send(Chunk::Close); // a writer that has ended has closed it already
+        let _ = self.chunks.send(Chunk::Close); // fails if the writer has ended, which closes the connection
     }
 }
 
-fn write_out(
-    stream: Socket, queue: &Receiver<Chunk>, limits: &Limits, waiting: &AtomicUsize, unsent: &AtomicUsize,
+fn write_chunks(
+    stream: Socket, queue: &Receiver<Chunk>, limits: &Limits, queued_bytes: &AtomicUsize,
+    unsent_bytes: &AtomicUsize,
 ) {
-    let mut ring = Ring::new(limits.client_ring);
+    let mut ring = RingBuffer::new(limits.client_buffer);
     let mut broken = false;
-    while let Ok(Chunk::Bytes(bytes, _held)) = queue.recv() {
-        let (mut rest, all) = (&bytes[..], bytes.len());
+    while let Ok(Chunk::Bytes(bytes, _reservation)) = queue.recv() {
+        let (mut rest, len) = (&bytes[..], bytes.len());
         while !broken && (!rest.is_empty() || !ring.is_empty()) {
             rest = &rest[ring.push(rest)..];
-            match stream.write_within(ring.front(), limits.write_stall) {
+            match stream.write_within(ring.front(), limits.write_stall_timeout) {
                 Ok(n) if n > 0 => ring.consume(n),
-                ended => {
-                    let why = ended.err().map_or("closed".to_owned(), |e| e.to_string());
-                    note!("client: connection given up while writing an answer: {why}");
+                result => {
+                    let reason = result.err().map_or("closed".to_owned(), |e| e.to_string());
+                    log_limited!("client: connection closed: writing a response failed: {reason}");
                     broken = true;
                     stream.close();
                 }
             }
         }
-        waiting.fetch_sub(all, Ordering::Relaxed);
-        unsent.fetch_sub(all, Ordering::AcqRel);
+        queued_bytes.fetch_sub(len, Ordering::Relaxed);
+        unsent_bytes.fetch_sub(len, Ordering::AcqRel);
     }
-    stream.close(); // the reader sees the end and leaves; what is still queued will not be written
+    stream.close(); // the reader sees the end of the stream; chunks that are still queued are not written
     while let Ok(chunk) = queue.try_recv() {
         if let Chunk::Bytes(bytes, _) = chunk {
-            unsent.fetch_sub(bytes.len(), Ordering::AcqRel);
+            unsent_bytes.fetch_sub(bytes.len(), Ordering::AcqRel);
         }
     }
 }
 
-/// The client connections over all fronts, against their limit.
+/// Limits the client connections of all listeners together.
 #[derive(Clone)]
-pub struct Permits {
-    taken: Arc<Mutex<BTreeMap<u64, Arc<Occupant>>>>,
-    most: usize,
+pub struct ConnectionLimiter {
+    connections: Arc<Mutex<BTreeMap<u64, Arc<ClientActivity>>>>,
+    limit: usize,
 }
 
-/// What a client connection is at.
+/// What a client connection is doing.
 #[derive(Clone, Copy)]
-struct Use {
-    /// Requests that are owed an answer.
-    open: usize,
-    /// When the last of them ended; else when it connected.
-    since: Instant,
-    /// Whether a request of it has been served or refused: others may never say anything of use.
-    proven: bool,
+struct Activity {
+    /// Requests without a response.
+    open_requests: usize,
+    /// When the last response was sent; before the first, when the client connected.
+    idle_since: Instant,
+    /// Whether a request on it was served or refused. Other connections may never carry a valid request.
+    had_valid_request: bool,
     /// Whether a request has been read in part.
-    part: bool,
+    reading_request: bool,
 }
 
-/// One client connection, as the permits know it.
-pub struct Occupant {
-    /// The connection's number, unique in the program.
-    pub number: u64,
-    state: Mutex<(Use, Option<Outbox>)>,
+/// The activity of one client connection, by which the limiter chooses the connections to close.
+pub struct ClientActivity {
+    /// The connection's id, unique in the process.
+    pub connection_id: u64,
+    state: Mutex<(Activity, Option<Outbox>)>,
 }
 
-impl Occupant {
-    fn change(&self, change: impl FnOnce(&mut Use)) {
+impl ClientActivity {
+    fn update(&self, update: impl FnOnce(&mut Activity)) {
         if let Ok(mut state) = self.state.lock() {
-            change(&mut state.0);
+            update(&mut state.0);
         }
     }
 
-    /// Names the sending side, by which the connection can be closed.
-    pub fn writes_to(&self, out: &Outbox) {
+    /// Sets the sending side, through which the limiter can close the connection.
+    pub fn set_outbox(&self, outbox: &Outbox) {
         if let Ok(mut state) = self.state.lock() {
-            state.1 = Some(out.clone());
+            state.1 = Some(outbox.clone());
         }
     }
 
-    /// A request has gone to the core.
-    pub fn opened(&self) {
-        self.change(|u| u.open += 1);
+    /// Records that a request was passed to the core.
+    pub fn request_opened(&self) {
+        self.update(|activity| activity.open_requests += 1);
     }
 
-    /// A request is owed nothing any more; `proven` if it was one that workers could take.
-    pub fn ended(&self, proven: bool) {
-        self.change(|u| {
-            (u.open, u.since) = (u.open.saturating_sub(1), Instant::now());
-            u.proven |= proven;
+    /// Records that a request has ended; `valid` if it was one that workers could serve.
+    pub fn request_ended(&self, valid: bool) {
+        self.update(|activity| {
+            activity.open_requests = activity.open_requests.saturating_sub(1);
+            activity.idle_since = Instant::now();
+            activity.had_valid_request |= valid;
         });
     }
 
-    /// Whether something of a request has been read and the rest of it has not.
-    pub fn reads(&self, part: bool) {
-        self.change(|u| u.part = part);
+    /// Records whether a request has been read in part.
+    pub fn set_reading_request(&self, reading: bool) {
+        self.update(|activity| activity.reading_request = reading);
     }
 
-    /// Something was answered at once.
-    pub fn heard(&self) {
-        self.change(|u| u.since = Instant::now());
+    /// Records that a request was answered without the core.
+    pub fn answered_directly(&self) {
+        self.update(|activity| activity.idle_since = Instant::now());
     }
 
-    /// Whether nothing is owed here.
+    /// Whether no request is open.
     pub fn is_idle(&self) -> bool {
-        self.state.lock().is_ok_and(|s| s.0.open == 0)
+        self.state.lock().is_ok_and(|s| s.0.open_requests == 0)
     }
 
-    /// Whether nothing has been owed here for so long that the connection should end. Guards descriptors and
-    /// memory against connections that say nothing, or ask once and stay. Usual clients close sooner.
-    pub fn outstayed(&self, limits: &Limits) -> bool {
+    /// Whether the connection has been idle for so long that it should close. This frees the descriptors and
+    /// memory of connections that never send a request, or send one and stay open. Common clients close
+    /// sooner.
+    pub fn is_expired(&self, limits: &Limits) -> bool {
         let Ok(state) = self.state.lock() else { return true };
-        let Use { open, since, proven, .. } = state.0;
-        open == 0 && since.elapsed() > if proven { limits.client_idle } else { limits.first_request }
+        let Activity { open_requests, idle_since, had_valid_request, .. } = state.0;
+        let timeout =
+            if had_valid_request { limits.client_idle_timeout } else { limits.first_request_timeout };
+        open_requests == 0 && idle_since.elapsed() > timeout
     }
 }
 
-impl Permits {
-    /// So many connections.
-    pub fn new(most: usize) -> Self {
-        Permits { taken: Arc::default(), most }
+impl ConnectionLimiter {
+    /// A limiter of `limit` connections.
+    pub fn new(limit: usize) -> Self {
+        ConnectionLimiter { connections: Arc::default(), limit }
     }
 
-    /// A permit, or nothing if all are taken.
-    pub fn take(&self) -> Option<Permit> {
-        let mut taken = self.taken.lock().ok()?;
-        if taken.len() >= self.most {
+    /// A permit for a new connection; `None` at the limit.
+    pub fn acquire(&self) -> Option<ConnectionPermit> {
+        let mut connections = self.connections.lock().ok()?;
+        if connections.len() >= self.limit {
             return None;
         }
-        let state = Mutex::new((Use { open: 0, since: Instant::now(), proven: false, part: false }, None));
-        let occupant = Arc::new(Occupant { number: connection_number(), state });
-        taken.insert(occupant.number, occupant.clone());
-        Some(Permit { permits: self.clone(), occupant })
+        let activity = Activity {
+            open_requests: 0,
+            idle_since: Instant::now(),
+            had_valid_request: false,
+            reading_request: false,
+        };
+        let state = Mutex::new((activity, None));
+        let activity = Arc::new(ClientActivity { connection_id: next_connection_id(), state });
+        connections.insert(activity.connection_id, activity.clone());
+        Some(ConnectionPermit { limiter: self.clone(), activity })
     }
 
-    /// Closes a part of the connections on which nothing is owed: first those that never asked for anything of
-    /// use, then those idle longest. Guards usual clients against hundreds that connect and say nothing.
-    /// Whether any is or may soon be free.
-    pub fn clear(&self) -> bool {
-        let Ok(taken) = self.taken.lock() else { return false };
-        // Those that have only just been accepted are not known to have anything to say yet.
-        let new = |o: &Arc<Occupant>| o.state.lock().is_ok_and(|s| s.1.is_none());
-        let new = taken.values().any(new);
-        let idle = |o: &Arc<Occupant>| {
-            let state = o.state.lock().ok()?;
-            // A request on its way to one that has been of use is a usual client's.
-            let usual = state.0.open > 0 || state.0.part && state.0.proven;
-            let out = state.1.clone().filter(|_| !usual)?;
-            Some(((state.0.proven, state.0.part, state.0.since), out))
+    /// Closes some of the idle connections: first those that never carried a valid request, then those idle
+    /// longest. This keeps hundreds of silent connections from locking out common clients. Returns whether a
+    /// permit is free or may soon be.
+    pub fn close_idle(&self) -> bool {
+        let Ok(connections) = self.connections.lock() else { return false };
+        // It is not known yet whether a connection that was only just accepted sends a request.
+        let is_new = |a: &Arc<ClientActivity>| a.state.lock().is_ok_and(|s| s.1.is_none());
+        let any_new = connections.values().any(is_new);
+        let idle = |a: &Arc<ClientActivity>| {
+            let state = a.state.lock().ok()?;
+            let activity = state.0;
+            // A partly read request counts as a common client's if the connection had a valid request before.
+            let in_use = activity.open_requests > 0 || activity.reading_request && activity.had_valid_request;
+            let outbox = state.1.clone().filter(|_| !in_use)?;
+            Some(((activity.had_valid_request, activity.reading_request, activity.idle_since), outbox))
         };
-        let mut idle: Vec<_> = taken.values().filter_map(idle).collect();
-        drop(taken);
+        let mut idle: Vec<_> = connections.values().filter_map(idle).collect();
+        drop(connections);
         idle.sort_by_key(|i| i.0);
-        idle.truncate(self.most.div_ceil(16));
-        idle.iter().for_each(|(_, out)| out.close());
-        new || !idle.is_empty()
+        idle.truncate(self.limit.div_ceil(IDLE_CLOSE_DIVISOR));
+        idle.iter().for_each(|(_, outbox)| outbox.close());
+        any_new || !idle.is_empty()
     }
 }
 
-/// One client connection's place; given back when dropped.
-pub struct Permit {
-    permits: Permits,
-    /// Who has it.
-    pub occupant: Arc<Occupant>,
+/// The permit of one client connection. Dropping it releases it.
+pub struct ConnectionPermit {
+    limiter: ConnectionLimiter,
+    /// The connection's activity.
+    pub activity: Arc<ClientActivity>,
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        if let Ok(mut taken) = self.permits.taken.lock() {
-            taken.remove(&self.occupant.number);
+        if let Ok(mut connections) = self.limiter.connections.lock() {
+            connections.remove(&self.activity.connection_id);
         }
     }
 }
--- a/heronslip/src/ring.rs
+++ b/heronslip/src/ring.rs
@@ -1,47 +1,47 @@
-//! A bounded ring of bytes: each connection has one a direction.
+//! A bounded ring buffer of bytes. Each connection has one for each direction.
 use std::io::{self, Read};
 
-/// Bytes that a ring takes before it has held more. Of hundreds of connections few carry more than a short frame at
-/// a time.
-const FIRST: usize = 1024;
-/// An empty ring that has grown beyond this is made small again.
-const KEPT: usize = 8 * 1024;
+/// First allocation of a buffer, in bytes. Few of hundreds of connections ever carry more than a short frame
+/// at a time.
+const INITIAL_ALLOCATION: usize = 1024;
+/// A buffer that becomes empty releases its memory if it has allocated more bytes than this.
+const MAX_IDLE_ALLOCATION: usize = 8 * 1024;
 
-/// A ring buffer of bounded size; what does not fit stays with the caller. Memory follows what it holds.
-pub struct Ring {
+/// A ring buffer of bounded capacity that allocates memory as needed.
+pub struct RingBuffer {
     bytes: Vec<u8>,
     capacity: usize,
     head: usize,
     len: usize,
 }
 
-impl Ring {
-    /// An empty ring that holds this many bytes.
+impl RingBuffer {
+    /// An empty buffer of this capacity in bytes.
     pub fn new(capacity: usize) -> Self {
-        Ring { bytes: Vec::new(), capacity: capacity.max(1), head: 0, len: 0 }
+        RingBuffer { bytes: Vec::new(), capacity: capacity.max(1), head: 0, len: 0 }
     }
 
-    /// Bytes held.
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is held.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that still fit.
+    /// The number of bytes that still fit.
     pub fn free(&self) -> usize {
         self.capacity - self.len
     }
 
-    /// Bytes of memory taken.
+    /// The number of bytes allocated.
     pub fn allocated(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Takes over what fits and tells how much that was.
+    /// Appends as many bytes as fit and returns their number.
     pub fn push(&mut self, data: &[u8]) -> usize {
         let n = data.len().min(self.free());
         if n == 0 {
@@ -56,12 +56,12 @@
         n
     }
 
-    /// The oldest bytes, as far as they lie in one piece.
+    /// The oldest bytes, as far as they are contiguous in memory.
     pub fn front(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Lets go of the oldest bytes.
+    /// Removes the oldest `n` bytes.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
@@ -70,26 +70,28 @@
             return;
         }
         self.head = 0;
-        if self.bytes.len() > KEPT {
+        if self.bytes.len() > MAX_IDLE_ALLOCATION {
             self.bytes = Vec::new();
         }
     }
 
-    /// Keeps the oldest `len` bytes only.
+    /// Keeps only the oldest `len` bytes.
     pub fn truncate(&mut self, len: usize) {
         self.len = self.len.min(len);
     }
 
-    /// One read into the free space; 0 is the end of the stream. Call only while something is free.
-    pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
+    /// Reads once into the free space and returns the number of bytes; 0 means the end of the stream. Must
+    /// not be called on a full buffer.
+    pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<usize> {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1);
         }
         let tail = (self.head + self.len) % self.bytes.len();
         let end = if tail < self.head { self.head } else { self.bytes.len() };
         loop {
-            match from.read(&mut self.bytes[tail..end]) {
-                // An interruption is neither an end nor a time-out: what has come in part is read on.
+            match source.read(&mut self.bytes[tail..end]) {
+                // An interruption is neither an end nor a timeout: a caller would give up on a partly read
+                // message.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Ok(n) => {
                     self.len += n;
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Makes room for so many bytes in all, twice as many as before at least, within the ring's size.
-    fn grow(&mut self, wanted: usize) {
-        if wanted <= self.bytes.len() {
+    /// Allocates room for at least `needed` bytes, within the capacity. At least doubles the allocation.
+    fn grow(&mut self, needed: usize) {
+        if needed <= self.bytes.len() {
             return;
         }
-        let size = wanted.max(2 * self.bytes.len()).max(FIRST).min(self.capacity);
+        let size = needed.max(2 * self.bytes.len()).max(INITIAL_ALLOCATION).min(self.capacity);
         let mut bytes = Vec::with_capacity(size);
         let (first, second) = (self.front().len(), self.len - self.front().len());
         bytes.extend_from_slice(&self.bytes[self.head..self.head + first]);
@@ -114,13 +116,13 @@
         (self.bytes, self.head) = (bytes, 0);
     }
 
-    /// Moves up to `most` bytes to the end of `to`; tells how many.
-    pub fn take(&mut self, most: usize, to: &mut Vec<u8>) -> usize {
+    /// Moves up to `max` of the oldest bytes to the end of `target` and returns their number.
+    pub fn drain_into(&mut self, max: usize, target: &mut Vec<u8>) -> usize {
         let mut moved = 0;
-        while moved < most && !self.is_empty() {
-            let piece = self.front();
-            let n = piece.len().min(most - moved);
-            to.extend_from_slice(&piece[..n]);
+        while moved < max && !self.is_empty() {
+            let slice = self.front();
+            let n = slice.len().min(max - moved);
+            target.extend_from_slice(&slice[..n]);
             self.consume(n);
             moved += n;
         }
--- /dev/null
+++ b/heronslip/src/server/kserve.rs
@@ -0,0 +1,401 @@
+//! The KServe v2 server: the Open Inference Protocol over HTTP/1.1 REST. Its requests go to the same core as
+//! those of FastCGI clients. The read-only administration API uses the same HTTP code.
+use super::{is_valid_idempotency_key, parse_id, RequestParameters, ServerContext};
+use crate::http::{response, Head};
+use crate::limits::Limits;
+use crate::messages::{Client, IncomingGuard, Message, Payload, Request, Response};
+use crate::net::{is_timeout, ClientActivity, ConnectionPermit, Outbox, Socket};
+use crate::ring::RingBuffer;
+use crate::worker::kserve::wrap_answer;
+use heronslip_policy::json::{flag, number, object, parse, part, text};
+use may::sync::Mutex;
+use miniserde::json::{self, Object, Value};
+use std::collections::VecDeque;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// Encodes an error object of the protocol.
+pub fn error_body(message: &str) -> Vec<u8> {
+    let mut fields = Object::new();
+    fields.insert("error".to_owned(), Value::String(message.to_owned()));
+    json::to_string(&fields).into_bytes()
+}
+
+fn response_bytes(result: Response, close: bool) -> Vec<u8> {
+    match result {
+        Response::Served(Payload::Json(body)) => response("200 OK", "", &body, close),
+        Response::Served(Payload::Bytes(body)) => {
+            // From a worker of the platform's protocol: a JSON object is passed on unchanged, other bytes as
+            // a tensor.
+            let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
+            let body = if json.as_ref().and_then(object).is_some() { body } else { wrap_answer(&body) };
+            response("200 OK", "", &body, close)
+        }
+        Response::Refused { retry_after } => {
+            // Retry-After allows only whole seconds; Srv-Wait-Ms states the exact time.
+            let headers = format!(
+                "Retry-After: {}\r\nSrv-Wait-Ms: {}\r\n",
+                retry_after.div_ceil(1_000_000).max(1),
+                retry_after.div_ceil(1000)
+            );
+            let body = error_body("refused, trying again is harmless");
+            response("503 Service Unavailable", &headers, &body, close)
+        }
+        Response::Failed => response("500 Internal Server Error", "", &error_body("failed"), close),
+    }
+}
+
+/// The place of a response in the order of the connection's requests.
+struct ResponseSlot {
+    tag: u64,
+    /// Whether the connection closes after this response.
+    close: bool,
+    /// The encoded response, once there is one.
+    bytes: Option<Vec<u8>>,
+}
+
+/// A client connection as the core sees it.
+struct Connection {
+    activity: Arc<ClientActivity>,
+    outbox: Outbox,
+    slots: Mutex<VecDeque<ResponseSlot>>,
+}
+
+impl Connection {
+    /// Puts a response in its slot, and sends all responses that no earlier slot holds up.
+    fn fill_slot(&self, tag: u64, encode: impl FnOnce(bool) -> Vec<u8>) {
+        let Ok(mut slots) = self.slots.lock() else { return };
+        if let Some(slot) = slots.iter_mut().find(|s| s.tag == tag && s.bytes.is_none()) {
+            slot.bytes = Some(encode(slot.close));
+        }
+        while slots.front().is_some_and(|s| s.bytes.is_some()) {
+            let Some(ResponseSlot { bytes: Some(bytes), close, .. }) = slots.pop_front() else { return };
+            self.outbox.send(bytes);
+            if close {
+                self.outbox.close();
+            }
+        }
+    }
+}
+
+impl Client for Connection {
+    fn respond(&self, tag: u64, response: Response) {
+        self.activity.request_ended(!matches!(response, Response::Failed));
+        self.fill_slot(tag, |close| response_bytes(response, close));
+    }
+
+    fn connection_id(&self) -> u64 {
+        self.activity.connection_id
+    }
+}
+
+/// Serves a KServe v2 client connection until it closes.
+pub fn serve(stream: Socket, context: &ServerContext, permit: ConnectionPermit) {
+    serve_http(stream, context, permit, "kserve", |reader, tag, head, body| {
+        reader.handle_kserve(tag, head, body)
+    });
+}
+
+/// Serves a connection of the read-only administration API until it closes.
+pub fn serve_admin(stream: Socket, context: &ServerContext, permit: ConnectionPermit) {
+    serve_http(stream, context, permit, "admin", |reader, tag, head, body| {
+        reader.handle_admin(tag, head, body)
+    });
+}
+
+type Handler = fn(&Reader<'_>, u64, &Head, Vec<u8>) -> Reply;
+
+fn serve_http(
+    stream: Socket, context: &ServerContext, permit: ConnectionPermit, server: &'static str, handler: Handler,
+) {
+    let peer = stream.peer_addr().map_or("?".to_owned(), |p| p.to_string());
+    let permit = Arc::new(permit);
+    let outbox = match context.start_outbox(stream.clone(), permit.clone()) {
+        Ok(outbox) => outbox,
+        Err(e) => return log_limited!("{server} {peer}: connection closed: cannot start its writer: {e}"),
+    };
+    permit.activity.set_outbox(&outbox);
+    let connection =
+        Arc::new(Connection { activity: permit.activity.clone(), outbox, slots: Mutex::default() });
+    let reader = Reader { context, connection: connection.clone(), handler };
+    if let Err(reason) = reader.run(stream) {
+        log_limited!("{server} {peer}: connection closed: {reason}");
+    }
+    // Sending fails only when the process ends.
+    let _ = context.core.send(Message::ClientDisconnected { connection: permit.activity.connection_id });
+    connection.outbox.close();
+}
+
+/// What a handler does with a request.
+enum Reply {
+    /// The core responds later.
+    FromCore,
+    /// Responds at once with this status and body.
+    Immediate(&'static str, Vec<u8>),
+}
+
+fn error_reply(status: &'static str, message: &str) -> Reply {
+    Reply::Immediate(status, error_body(message))
+}
+
+struct Reader<'a> {
+    context: &'a ServerContext,
+    connection: Arc<Connection>,
+    handler: Handler,
+}
+
+impl Reader<'_> {
+    fn run(&self, mut stream: Socket) -> Result<(), String> {
+        let limits = &self.context.limits;
+        let (mut ring, mut head_bytes, mut tag) = (RingBuffer::new(limits.client_buffer), Vec::new(), 0u64);
+        let mut partial_body: Option<(Head, Vec<u8>)> = None;
+        let mut partial_request: Option<(Instant, IncomingGuard)> = None; // set while a request is incomplete
+        let activity = &self.connection.activity;
+        stream.set_read_timeout(limits.client_check_interval).map_err(|e| e.to_string())?;
+        loop {
+            activity.set_reading_request(partial_request.is_some());
+            match ring.read_from(&mut stream) {
+                Ok(0) => return Ok(()),
+                Ok(_) => {}
+                Err(e) if is_timeout(&e) => {}
+                Err(e) => return Err(e.to_string()),
+            }
+            // As in the FastCGI server: closes connections whose requests are never completed, or that send
+            // none.
+            if partial_request
+                .as_ref()
+                .is_some_and(|(start, _)| start.elapsed() > limits.request_read_timeout)
+            {
+                self.send_last(tag, "408 Request Timeout", "the request never came whole");
+                return Err("timed out reading a request".to_owned());
+            }
+            let stopping = self.context.shared.refuses_requests.load(Ordering::Acquire) && activity.is_idle();
+            if partial_request.is_none() && ring.is_empty() && (stopping || activity.is_expired(limits)) {
+                return Ok(());
+            }
+            while !ring.is_empty() {
+                partial_request.get_or_insert_with(|| {
+                    (Instant::now(), IncomingGuard::new(&self.context.incoming_requests))
+                });
+                if partial_body.is_none() {
+                    ring.drain_into(1, &mut head_bytes);
+                    if head_bytes == b"\r\n" {
+                        head_bytes.clear(); // an empty line before a request is ignored
+                        partial_request = None;
+                    }
+                    if head_bytes.len() > limits.max_head {
+                        let message = "the head is too long";
+                        self.send_last(tag, "431 Request Header Fields Too Large", message);
+                        return Err("the request's head is too long".to_owned());
+                    }
+                    if !head_bytes.ends_with(b"\r\n\r\n") {
+                        continue;
+                    }
+                    let head = Head::parse_request(&head_bytes)
+                        .inspect_err(|message| self.send_last(tag, "400 Bad Request", message))?;
+                    head_bytes.clear();
+                    let length = head.length.unwrap_or(0);
+                    if head.chunked || length > limits.max_body {
+                        let (status, message) = match head.chunked {
+                            true => ("411 Length Required", "chunked requests are not read"),
+                            false => ("413 Content Too Large", "the body is too long"),
+                        };
+                        self.send_last(tag, status, message);
+                        return Err(message.to_owned());
+                    }
+                    if head.expects_continue && length > 0 {
+                        self.connection.outbox.send(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec());
+                    }
+                    partial_body = Some((head, Vec::with_capacity(length)));
+                }
+                if let Some((head, mut body)) = partial_body.take() {
+                    let length = head.length.unwrap_or(0);
+                    ring.drain_into(length - body.len(), &mut body);
+                    if body.len() < length {
+                        partial_body = Some((head, body));
+                        continue;
+                    }
+                    tag += 1;
+                    self.handle_request(tag, &head, body)?;
+                    partial_request = None; // only now: the core counts the request from here on
+                    if head.close {
+                        return self.discard_until_closed(&mut ring, &mut stream);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Discards everything after the last request until the client closes the connection.
+    fn discard_until_closed(&self, ring: &mut RingBuffer, stream: &mut Socket) -> Result<(), String> {
+        loop {
+            ring.truncate(0);
+            match ring.read_from(stream) {
+                Err(e) if is_timeout(&e) => {}
+                Ok(n) if n > 0 => {}
+                _ => return Ok(()),
+            }
+        }
+    }
+
+    /// Responds to a request that cannot be read, and closes the connection after the response.
+    fn send_last(&self, tag: u64, status: &'static str, message: &str) {
+        if let Ok(mut slots) = self.connection.slots.lock() {
+            slots.push_back(ResponseSlot { tag: tag + 1, close: true, bytes: None });
+        }
+        self.connection.fill_slot(tag + 1, |close| response(status, "", &error_body(message), close));
+    }
+
+    fn handle_request(&self, tag: u64, head: &Head, body: Vec<u8>) -> Result<(), String> {
+        {
+            let mut slots = self.connection.slots.lock().map_err(|_| "poisoned")?;
+            if slots.len() >= self.context.limits.requests_per_connection {
+                return Err("too many open requests on one connection".to_owned());
+            }
+            slots.push_back(ResponseSlot { tag, close: head.close, bytes: None });
+        }
+        if let Reply::Immediate(status, body) = (self.handler)(self, tag, head, body) {
+            self.connection.activity.answered_directly();
+            let headers = if status.starts_with("503") { "Retry-After: 1\r\n" } else { "" };
+            self.connection.fill_slot(tag, |close| response(status, headers, &body, close));
+        }
+        Ok(())
+    }
+
+    fn ready(&self) -> bool {
+        self.context.shared.ready.load(Ordering::Acquire)
+    }
+
+    fn handle_kserve(&self, tag: u64, head: &Head, body: Vec<u8>) -> Reply {
+        let path = head.target.split('?').next().unwrap_or_default();
+        let mut segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+        // A path may name a version. Each model has only one, so it is ignored.
+        if segments.len() > 4 && segments[3] == "versions" {
+            segments.drain(3..5);
+        }
+        let method = head.method.as_str();
+        let health = |name: &str, healthy: bool| {
+            let status = if healthy { "200 OK" } else { "503 Service Unavailable" };
+            Reply::Immediate(status, format!("{{\"{name}\":{healthy}}}").into_bytes())
+        };
+        match (method, &segments[..]) {
+            ("GET", ["v2", "health", "live"]) => health("live", true),
+            ("GET", ["v2", "health", "ready"]) => health("ready", self.ready()),
+            ("GET", ["v2"]) => {
+                let text = concat!(
+                    r#"{"name":"heronslip","version":""#,
+                    env!("CARGO_PKG_VERSION"),
+                    r#"","extensions":[]}"#
+                );
+                Reply::Immediate("200 OK", text.as_bytes().to_vec())
+            }
+            (_, ["v2", "models", name, ..]) if parse_id(name).is_none() => {
+                error_reply("404 Not Found", "unknown model: a name is 16 hex digits")
+            }
+            ("GET", ["v2", "models", name, "ready"]) => {
+                let ready = self.ready();
+                let status = if ready { "200 OK" } else { "503 Service Unavailable" };
+                let body = format!("{{\"name\":\"{name}\",\"ready\":{ready}}}");
+                Reply::Immediate(status, body.into_bytes())
+            }
+            ("GET", ["v2", "models", name]) => {
+                let tensor = r#"[{"name":"body","datatype":"BYTES","shape":[1]}]"#;
+                let text = format!(
+                    "{{\"name\":\"{name}\",\"versions\":[\"1\"],\"platform\":\"heronslip\",\"inputs\":{tensor},\"outputs\":{tensor}}}"
+                );
+                Reply::Immediate("200 OK", text.into_bytes())
+            }
+            ("POST", ["v2", "models", name, "infer"]) => self.infer(tag, name, body),
+            (_, ["v2", "models", _, "infer" | "ready"]) | (_, ["v2", "health", _]) => {
+                error_reply("405 Method Not Allowed", "method")
+            }
+            _ => error_reply("404 Not Found", "no such resource"),
+        }
+    }
+
+    fn infer(&self, tag: u64, name: &str, body: Vec<u8>) -> Reply {
+        let received_at = Instant::now();
+        let Some(reservation) = self.context.memory_budget.reserve(body.len()) else {
+            log_limited!("kserve: request refused: the memory budget for requests is exhausted");
+            return error_reply("503 Service Unavailable", "too many bytes are held");
+        };
+        match parse_request(name, body, &self.context.limits) {
+            Ok(request) => {
+                let incoming = Some(IncomingGuard::new(&self.context.incoming_requests));
+                let request = Request { received_at, reservation: Some(reservation), incoming, ..request };
+                self.connection.activity.request_opened();
+                let client = self.connection.clone();
+                let _ = self.context.core.send(Message::Request { request, client, tag });
+                Reply::FromCore
+            }
+            Err(reason) => {
+                log_limited!("kserve: request failed: {reason}");
+                error_reply("400 Bad Request", reason)
+            }
+        }
+    }
+
+    fn handle_admin(&self, _tag: u64, head: &Head, _body: Vec<u8>) -> Reply {
+        let path = head.target.split('?').next().unwrap_or_default();
+        match (head.method.as_str(), path) {
+            ("GET", "/healthz") if self.ready() => Reply::Immediate("200 OK", b"{\"ready\":true}".to_vec()),
+            ("GET", "/healthz") => Reply::Immediate("503 Service Unavailable", b"{\"ready\":false}".to_vec()),
+            ("GET", "/v1/state") => {
+                let (reply, state) = may::sync::mpsc::channel();
+                let _ = self.context.core.send(Message::Inspect { reply });
+                match state.recv() {
+                    Ok(state) => Reply::Immediate("200 OK", state.into_bytes()),
+                    Err(_) => error_reply("503 Service Unavailable", "the core is ending"),
+                }
+            }
+            ("GET", _) => error_reply("404 Not Found", "there are /healthz and /v1/state"),
+            _ => error_reply("405 Method Not Allowed", "this API is read-only"),
+        }
+    }
+}
+
+/// The id that workers receive: the client's id if it is 16 hexadecimal digits, otherwise a random number.
+fn wire_id(id: Option<&str>) -> u64 {
+    use std::hash::{BuildHasher, RandomState};
+    id.and_then(parse_id).unwrap_or_else(|| RandomState::new().hash_one(id))
+}
+
+/// Parses the fields of a v2 body. The body itself is passed on unchanged.
+fn parse_request(name: &str, body: Vec<u8>, limits: &Limits) -> Result<Request, &'static str> {
+    let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
+    let fields = json.as_ref().and_then(object).ok_or("the body is no JSON object")?;
+    let empty = Object::new();
+    let stated = part(fields, "parameters").unwrap_or(&empty);
+    let key = text(stated, "token");
+    if key.is_some_and(|k| !is_valid_idempotency_key(k)) {
+        return Err("the key cannot travel");
+    }
+    let number_or = |name: &str, default: f64| match stated.get(name) {
+        Some(_) => number(stated, name).ok_or("a figure is no number"),
+        None => Ok(default),
+    };
+    let parameters = RequestParameters {
+        wait_ms: number_or("wait_ms", limits.default_wait as f64 / 1000.0)?,
+        memory_mb: number_or("memory_mb", 0.0)?,
+        lanes: number_or("lanes", 0.0)?,
+        load_ms: number_or("load_ms", 0.0)?,
+    };
+    parameters.validate(limits)?;
+    Ok(Request {
+        wire_id: wire_id(text(fields, "id")),
+        class: text(stated, "class").ok_or("no 'class' among the parameters")?.to_owned(),
+        tenant: text(stated, "tenant").unwrap_or_default().to_owned(),
+        function: parse_id(name).ok_or("unknown model")?,
+        wait: (parameters.wait_ms * 1000.0) as u64,
+        received_at: Instant::now(),
+        idempotency_key: key.map(str::to_owned),
+        is_retry: flag(stated, "retry"),
+        memory_mb: parameters.memory_mb,
+        lanes: parameters.lanes as u32,
+        load_time: (parameters.load_ms * 1000.0) as u64,
+        payload: Payload::Json(body),
+        reservation: None,
+        incoming: None,
+    })
+}
--- /dev/null
+++ b/heronslip/src/server/mod.rs
@@ -0,0 +1,195 @@
+//! Servers for the client protocols. Each parses its protocol, passes requests to the core and writes the
+//! responses.
+pub mod fastcgi;
+pub mod kserve;
+
+use crate::core::SharedState;
+use crate::limits::{Limits, MemoryBudget};
+use crate::messages::Message;
+use crate::net::{spawn, ConnectionLimiter, ConnectionPermit, Outbox, Socket};
+use may::net::TcpListener;
+use nix::errno::Errno;
+use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
+use std::net::Shutdown;
+use std::os::fd::AsFd;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::mpsc::Sender;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How often a new connection tries to get a permit at the limit on client connections.
+const MAX_PERMIT_TRIES: usize = 20;
+/// Delay between these tries, in which the connections that were told to close can do so.
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// Delay before accepting again when descriptors or memory are exhausted.
+const EXHAUSTED_DELAY: Duration = Duration::from_millis(10);
+/// Delay before accepting again after any other error.
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(1);
+/// Maximum length of an idempotency key.
+const MAX_IDEMPOTENCY_KEY: usize = 128;
+
+/// What every server needs.
+#[derive(Clone)]
+pub struct ServerContext {
+    /// The core's queue.
+    pub core: Sender<Message>,
+    /// All limits.
+    pub limits: Arc<Limits>,
+    /// Memory for the request bodies and unsent responses of all requests.
+    pub memory_budget: MemoryBudget,
+    /// Limits the client connections of all servers together.
+    pub connection_limiter: ConnectionLimiter,
+    /// Bytes of responses that are not yet written.
+    pub unsent_bytes: Arc<AtomicUsize>,
+    /// Requests that have been read in part, or that the core has not accepted yet.
+    pub incoming_requests: Arc<AtomicUsize>,
+    /// The core's state.
+    pub shared: Arc<SharedState>,
+    /// Set when the listeners are about to close.
+    pub closing: Arc<AtomicBool>,
+}
+
+impl ServerContext {
+    /// Starts the writer of a client connection.
+    pub fn start_outbox(&self, stream: Socket, permit: Arc<ConnectionPermit>) -> std::io::Result<Outbox> {
+        Outbox::start(stream, permit, &self.limits, &self.memory_budget, &self.unsent_bytes)
+    }
+}
+
+/// A listener and the state of the coroutine that accepts its connections.
+#[derive(Clone)]
+pub struct Acceptor {
+    /// The listener.
+    pub listener: Arc<TcpListener>,
+    /// Whether the coroutine waits for the next connection.
+    waiting: Arc<AtomicBool>,
+    closed: Arc<AtomicBool>,
+}
+
+impl Acceptor {
+    /// Wraps a listener that has accepted nothing yet.
+    pub fn new(listener: TcpListener) -> Self {
+        Acceptor { listener: Arc::new(listener), waiting: Arc::default(), closed: Arc::default() }
+    }
+
+    /// Stops accepting. Connections that have not been accepted yet are reset.
+    pub fn close(&self) {
+        self.closed.store(true, Ordering::Release);
+        // Wakes the coroutine that waits in accept. Fails if the coroutine has ended already.
+        let _ = socket2::SockRef::from(self.listener.inner()).shutdown(Shutdown::Both);
+    }
+
+    /// Whether all connections have been accepted: none waits in the system, and the coroutine handles none.
+    pub fn all_accepted(&self) -> bool {
+        let mut listener = [PollFd::new(self.listener.inner().as_fd(), PollFlags::POLLIN)];
+        // If the poll fails, no connection counts as waiting.
+        let pending = poll(&mut listener, PollTimeout::ZERO).is_ok_and(|ready| ready > 0);
+        !pending && self.waiting.load(Ordering::Acquire)
+    }
+}
+
+/// Accepts connections until the listener closes. Each connection is served by a coroutine of its own.
+pub fn accept_connections(
+    acceptor: &Acceptor, context: &ServerContext, server: &'static str,
+    serve: fn(Socket, &ServerContext, ConnectionPermit),
+) {
+    loop {
+        acceptor.waiting.store(true, Ordering::Release);
+        let accepted = acceptor.listener.accept();
+        acceptor.waiting.store(false, Ordering::Release);
+        match accepted {
+            Ok((stream, peer)) => {
+                // The limit keeps descriptors free for workers and discovery.
+                let Some(permit) = acquire_permit(context) else {
+                    log_limited!(
+                        "{server} {peer}: connection closed: the limit on client connections is reached"
+                    );
+                    continue;
+                };
+                let connection_context = context.clone();
+                let _ = stream.set_nodelay(true); // without it the connection is only slower
+                let serve = move || serve(Socket::new(stream), &connection_context, permit);
+                if let Err(e) = spawn(context.limits.coroutine_stack, serve) {
+                    log_limited!("{server} {peer}: connection closed: cannot start a coroutine: {e}");
+                }
+                // Lets this connection be read before the next is accepted. Otherwise many connections that
+                // arrive together would all look silent.
+                may::coroutine::yield_now();
+            }
+            // Errors are transient, also during a shutdown. Only the closing of the listener ends the loop.
+            Err(_) if acceptor.closed.load(Ordering::Acquire) => {
+                acceptor.waiting.store(true, Ordering::Release);
+                return;
+            }
+            Err(e) if is_exhausted(&e) => {
+                log_limited!("{server}: accept failed, retrying: {e}");
+                may::coroutine::sleep(EXHAUSTED_DELAY);
+            }
+            Err(e) => {
+                log_limited!("{server}: accept failed, retrying: {e}");
+                may::coroutine::sleep(ACCEPT_ERROR_DELAY);
+            }
+        }
+    }
+}
+
+/// Whether an accept failed because descriptors or memory are exhausted. The connection then still waits, and
+/// others may close. Any other error concerns a single connection, or is an interruption.
+fn is_exhausted(e: &std::io::Error) -> bool {
+    let error = e.raw_os_error().map(Errno::from_raw);
+    matches!(error, Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM))
+}
+
+/// Acquires a permit, if necessary by closing idle connections.
+fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
+    let mut permit = context.connection_limiter.acquire();
+    for _ in 0..MAX_PERMIT_TRIES {
+        if permit.is_some() || !context.connection_limiter.close_idle() {
+            break;
+        }
+        may::coroutine::sleep(PERMIT_RETRY_DELAY);
+        permit = context.connection_limiter.acquire();
+    }
+    permit
+}
+
+/// The numeric parameters of a request as the client stated them; 0 if it did not.
+#[derive(Default)]
+pub struct RequestParameters {
+    /// How long the client waits, in ms.
+    pub wait_ms: f64,
+    /// Memory of a copy, in MB.
+    pub memory_mb: f64,
+    /// Calls that a copy runs at the same time.
+    pub lanes: f64,
+    /// Usual time to load a copy, in ms.
+    pub load_ms: f64,
+}
+
+impl RequestParameters {
+    /// Checks that each value is a number within its range. The clock and the controller rely on it.
+    pub fn validate(&self, limits: &Limits) -> Result<(), &'static str> {
+        let max_wait_ms = limits.max_wait as f64 / 1000.0;
+        let in_range = |value: f64, max: f64| (0.0..=max).contains(&value);
+        if !in_range(self.wait_ms, max_wait_ms) {
+            return Err("the wait is out of range");
+        }
+        let valid =
+            in_range(self.memory_mb, limits.max_copy_memory_mb) && in_range(self.load_ms, max_wait_ms);
+        (valid && in_range(self.lanes, limits.max_copy_lanes)).then_some(()).ok_or("a figure is out of range")
+    }
+}
+
+/// Whether an idempotency key can be sent in all protocols: no separators, no blanks.
+pub fn is_valid_idempotency_key(key: &str) -> bool {
+    !key.is_empty()
+        && key.len() <= MAX_IDEMPOTENCY_KEY
+        && key.bytes().all(|b| b.is_ascii_graphic() && !b",=;\"\\".contains(&b))
+}
+
+/// Parses an id of 16 hexadecimal digits.
+pub fn parse_id(text: &str) -> Option<u64> {
+    (text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit()))
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten()
+}
