--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -1,8 +1,9 @@
-//! Signals. SIGHUP has the configuration read again, to the last; SIGTERM lets the program go on for a while,
-//! then it ends once nothing is open.
+//! Signal handling and graceful shutdown. SIGHUP reloads the discovery service's address, also during a
+//! shutdown. After SIGTERM or SIGINT the process serves requests for a short while and then exits once
+//! nothing is open.
 use crate::config::Config;
 use crate::discovery::Board;
-use crate::front::{Acceptor, FrontContext};
+use crate::server::{Acceptor, ServerContext};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::sync::atomic::Ordering;
@@ -10,91 +11,97 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(10);
-/// A configuration that could not be read is read again after this.
-const RELOAD_RETRY: Duration = Duration::from_millis(100);
+/// How often the end of open work is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay before a configuration that could not be read is read again.
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves SIGHUP until SIGTERM or SIGINT comes, then waits for the end of what is open. Returns when the
-/// program may exit.
-pub fn wait(
-    mut signals: Signals, listeners: &[Acceptor], context: &FrontContext, board: &Arc<Board>,
+/// Handles signals until SIGTERM or SIGINT, then shuts down gracefully. Returns when the process may exit.
+pub fn run_until_shutdown(
+    mut signals: Signals, listeners: &[Acceptor], context: &ServerContext, board: &Arc<Board>,
 ) -> Result<(), String> {
     let (stop, stopped) = channel();
     let board = board.clone();
-    // A thread of their own: what is open at SIGTERM may take as long as the longest deadline, and the board
-    // may move meanwhile.
-    let serve = move || loop {
-        let mut read = true;
+    // Signals have a thread of their own: open requests may take as long as the longest deadline after
+    // SIGTERM, and the discovery service may move meanwhile.
+    let handle_signals = move || loop {
+        let mut reloaded = true;
         for signal in signals.wait() {
             if signal == SIGHUP {
-                read = reload(&board);
+                reloaded = reload(&board);
             } else {
-                let _ = stop.send(()); // told before
+                let _ = stop.send(()); // fails after the first signal to stop
             }
         }
-        while !read {
-            std::thread::sleep(RELOAD_RETRY);
+        while !reloaded {
+            std::thread::sleep(RELOAD_RETRY_DELAY);
             if signals.pending().any(|signal| signal != SIGHUP) {
                 let _ = stop.send(());
             }
-            read = reload(&board);
+            reloaded = reload(&board);
         }
     };
     std::thread::Builder::new()
         .name("signals".to_owned())
-        .spawn(serve)
-        .map_err(|e| format!("signals thread: {e}"))?;
-    stopped.recv().map_err(|_| "the signals' thread ended")?;
+        .spawn(handle_signals)
+        .map_err(|e| format!("cannot start the signal thread: {e}"))?;
+    stopped.recv().map_err(|_| "the signal thread ended")?;
     let limits = &context.limits;
-    log!("stop: signal; listening for {} ms more", limits.stop_listening.as_millis());
-    // The front goes on sending for a while: what comes in that time is owed an answer like any other.
-    std::thread::sleep(limits.stop_serving);
-    context.shared.ending.store(true, Ordering::Release);
-    std::thread::sleep(limits.stop_listening.saturating_sub(limits.stop_serving));
+    log!("stop: signal received, closing the listeners in {} ms", limits.shutdown_listen_time.as_millis());
+    // Clients go on sending for a while; requests that arrive in this time are still served.
+    std::thread::sleep(limits.shutdown_serve_time);
+    context.shared.refuses_requests.store(true, Ordering::Release);
+    std::thread::sleep(limits.shutdown_listen_time.saturating_sub(limits.shutdown_serve_time));
     log!("stop: closing the listeners");
-    close(listeners, context);
-    let since = Instant::now();
-    let mut quiet = 0;
-    // Twice quiet, so that an answer on its way from core to writer is counted by one of them.
-    while quiet < 2 && since.elapsed() < limits.stop_at_last {
-        let open = context.shared.open.load(Ordering::Acquire) + context.unsent.load(Ordering::Acquire);
-        // What has come in part by now comes whole soon, or its connection closes: see `Limits::request_read`.
-        let open = open + context.reading.load(Ordering::Acquire);
-        quiet = if open == 0 { quiet + 1 } else { 0 };
-        std::thread::sleep(LOOK);
+    close_listeners(listeners, context);
+    let start = Instant::now();
+    let mut idle_checks = 0;
+    // Two idle checks in a row, so that a response on its way from the core to a writer is counted by one of
+    // them.
+    while idle_checks < 2 && start.elapsed() < limits.shutdown_timeout {
+        let open = context.shared.open_requests.load(Ordering::Acquire)
+            + context.unsent_bytes.load(Ordering::Acquire);
+        // A request that has been read in part is soon complete, or its connection closes: see
+        // `Limits::request_read_timeout`.
+        let open = open + context.incoming_requests.load(Ordering::Acquire);
+        idle_checks = if open == 0 { idle_checks + 1 } else { 0 };
+        std::thread::sleep(POLL_INTERVAL);
     }
-    log!("stop: done, {} requests open", context.shared.open.load(Ordering::Acquire));
+    log!("stop: exiting with {} open requests", context.shared.open_requests.load(Ordering::Acquire));
     Ok(())
 }
 
-/// Reads the board's address again; whether it could. Guards against a file that is missing or half written: what
-/// held before goes on to hold, and the file is read again until it can be.
+/// Reads the discovery service's address again, and returns whether that succeeded. If the file is missing or
+/// only partly written, the old address stays in use and the caller retries.
 fn reload(board: &Board) -> bool {
-    match Config::board_now() {
+    match Config::read_discovery_address() {
         Ok(address) => {
-            log!("reload: the board is at {address}");
+            log!("reload: the discovery service is at {address}");
             board.moved(address);
             true
         }
-        Err(why) => {
-            note!("reload: nothing changed yet: {why}");
+        Err(error) => {
+            log_limited!("reload: failed, keeping the old configuration and retrying: {error}");
             false
         }
     }
 }
 
-/// Closes the listeners once they have taken in what has connected. Guards connections that wait to be
-/// accepted: a listener that is shut resets them, and what was sent there is lost.
-pub fn close(listeners: &[Acceptor], context: &FrontContext) {
+/// Closes the listeners once they have accepted all waiting connections. A listener that closes earlier
+/// resets those connections, and the requests sent on them are lost.
+pub fn close_listeners(listeners: &[Acceptor], context: &ServerContext) {
     context.closing.store(true, Ordering::Release);
-    let since = Instant::now();
-    while !listeners.iter().all(Acceptor::is_empty) && since.elapsed() < context.limits.stop_listening {
-        std::thread::sleep(LOOK);
+    let start = Instant::now();
+    while !listeners.iter().all(Acceptor::all_accepted)
+        && start.elapsed() < context.limits.shutdown_listen_time
+    {
+        std::thread::sleep(POLL_INTERVAL);
     }
     listeners.iter().for_each(Acceptor::close);
 }
 
-/// Registers the signals; called before anything else runs, so that none is missed or ends the program.
-pub fn signals() -> Result<Signals, String> {
-    Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))
+/// Registers the signal handlers. Called before anything else, so that no signal is missed or ends the
+/// process.
+pub fn register_signals() -> Result<Signals, String> {
+    Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|e| format!("cannot register signal handlers: {e}"))
 }
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -1,9 +1,9 @@
 //! The platform's binary frames: attempts, orders and cancels over shared connections to one worker.
 use super::{Reports, Transport};
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Payload, Report, Request};
-use crate::net::{connection_number, spawn, timed_out, Socket};
-use crate::ring::Ring;
+use crate::messages::{AttemptKey, AttemptReport, Payload, Request};
+use crate::net::{is_timeout, next_connection_id, spawn, Socket};
+use crate::ring::RingBuffer;
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use may::net::TcpStream;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -88,9 +88,9 @@
     }
 
     /// The next whole frame, or what is wrong with the stream.
-    pub fn next(&mut self, ring: &mut Ring, most: usize) -> Result<Option<Frame>, String> {
+    pub fn next(&mut self, ring: &mut RingBuffer, most: usize) -> Result<Option<Frame>, String> {
         if self.got.len() < HEADER {
-            ring.take(HEADER - self.got.len(), &mut self.got);
+            ring.drain_into(HEADER - self.got.len(), &mut self.got);
         }
         let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.got[..] else { return Ok(None) };
         let Some(id) = id.first_chunk::<8>() else { return Ok(None) };
@@ -104,7 +104,7 @@
             return Err(format!("length {body}"));
         }
         let all = HEADER + fields + body + CHECK;
-        ring.take(all - self.got.len(), &mut self.got);
+        ring.drain_into(all - self.got.len(), &mut self.got);
         if self.got.len() < all {
             return Ok(None);
         }
@@ -286,7 +286,7 @@
 
     /// Where a connection with room stands.
     fn usable(&self) -> Option<usize> {
-        let streams = self.limits.streams;
+        let streams = self.limits.streams_per_connection;
         self.links.iter().position(|l| {
             let state = &l.state;
             !state.broken.load(Ordering::Acquire)
@@ -309,9 +309,10 @@
             let state = Arc::new(State::default());
             let (address, limits) = (self.address, self.limits.clone());
             let (reports, of) = (self.reports.clone(), state.clone());
-            let started = spawn(self.limits.stack, move || Writer::run(address, queue, of, limits, reports));
+            let started =
+                spawn(self.limits.coroutine_stack, move || Writer::run(address, queue, of, limits, reports));
             if let Err(e) = started {
-                note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
+                log_limited!("worker {address}: no coroutine: {e}"); // the commands' timers end them
             }
             self.links.push(Link { commands, state, used: Instant::now(), asked: None });
             self.links.len() - 1
@@ -343,7 +344,7 @@
 fn call_fields(request: &Request, budget: Micros) -> String {
     let (class, function, budget) = (&request.class, request.function, (budget / 1000).max(1));
     let mut fields = format!("queue={class},path={function:016x},budget={budget}");
-    if let Some(token) = &request.token {
+    if let Some(token) = &request.idempotency_key {
         fields.push_str(",uniq=");
         fields.push_str(token);
     }
@@ -423,8 +424,8 @@
             drop(table);
             match (link.asked, oldest) {
                 (Some(asked), _) if heard.is_some_and(|h| h >= asked) => link.asked = None,
-                (Some(asked), _) if asked.elapsed() > limits.link_answer => {
-                    note!("worker {}: connection closed: no word from it", self.address);
+                (Some(asked), _) if asked.elapsed() > limits.liveness_check_timeout => {
+                    log_limited!("worker {}: connection closed: no word from it", self.address);
                     link.state.retired.store(true, Ordering::Release);
                     let _ = link.commands.send(Command::Close);
                 }
@@ -432,8 +433,8 @@
                     let quiet = heard.map_or(since, |h| h.max(since)).elapsed();
                     // Asked less and less often while only a load is waited for.
                     let waited = if new { Duration::ZERO } else { since.elapsed() / 2 };
-                    if quiet > limits.link_quiet.max(waited) {
-                        let (id, what) = (u64::MAX / 2 - connection_number(), What::Word);
+                    if quiet > limits.liveness_check_after.max(waited) {
+                        let (id, what) = (u64::MAX / 2 - next_connection_id(), What::Word);
                         link.state.load.fetch_add(1, Ordering::AcqRel);
                         let opening = Opening::Frame(hold(id, function, 0));
                         let begin = Begin::AnyTime;
@@ -447,7 +448,7 @@
     }
 
     fn sweep(&mut self) {
-        let idle = self.limits.worker_idle;
+        let idle = self.limits.worker_idle_timeout;
         // Dropping the sender lets the writer close. Guards against a send that crosses the worker's own close.
         self.links.retain(|l| {
             let quiet = l.state.load.load(Ordering::Acquire) == 0;
@@ -459,7 +460,7 @@
 
 /// Frames that wait in the ring for the socket. All bytes that are ever put in are counted as one stream.
 pub struct Outgoing {
-    ring: Ring,
+    ring: RingBuffer,
     frames: VecDeque<Outbound>,
     /// Where in the stream the next byte that is written stands.
     written: u64,
@@ -494,7 +495,7 @@
 impl Outgoing {
     /// Nothing waits in a ring of so many bytes.
     pub fn new(ring: usize) -> Self {
-        Outgoing { ring: Ring::new(ring), frames: VecDeque::new(), written: 0, end: 0 }
+        Outgoing { ring: RingBuffer::new(ring), frames: VecDeque::new(), written: 0, end: 0 }
     }
 
     /// Bytes that still fit.
@@ -539,7 +540,7 @@
             return Withheld::default();
         }
         let mut bytes = Vec::new();
-        self.ring.take(usize::MAX, &mut bytes);
+        self.ring.drain_into(usize::MAX, &mut bytes);
         let (mut withheld, start) = (Withheld::default(), self.written);
         self.end = self.written;
         for mut frame in std::mem::take(&mut self.frames) {
@@ -581,7 +582,7 @@
 /// Reports the end of an exchange that its connection does not count any more.
 fn report_open(reports: &Reports, what: What, outcome: Outcome) {
     match what {
-        What::Attempt(key) => reports.ended(key, Report::bare(outcome)),
+        What::Attempt(key) => reports.ended(key, AttemptReport::without_reply(outcome)),
         What::Order(order) => reports.ordered(order, outcome, 0),
         What::Probe(probe) => reports.probed(probe, outcome, None),
         What::Word => {}
@@ -608,10 +609,10 @@
         address: SocketAddr, queue: Receiver<Command>, state: Arc<State>, limits: Arc<Limits>,
         reports: Reports,
     ) {
-        let (waiting, outgoing) = (VecDeque::new(), Outgoing::new(limits.worker_ring));
+        let (waiting, outgoing) = (VecDeque::new(), Outgoing::new(limits.worker_buffer));
         let mut writer = Writer { state, reports, limits, waiting, outgoing };
         if let Err(why) = writer.connection(address, &queue) {
-            note!("worker {address}: connection ended: {why}");
+            log_limited!("worker {address}: connection ended: {why}");
         }
         break_up(&writer.state, &writer.reports);
         // What is or comes still in the queue was never written. The core lets go of the queue at its sweep.
@@ -631,14 +632,14 @@
 
     fn connection(&mut self, address: SocketAddr, queue: &Receiver<Command>) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
-        let stream = TcpStream::connect_timeout(&address, self.limits.connect).map_err(text)?;
+        let stream = TcpStream::connect_timeout(&address, self.limits.connect_timeout).map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
         let stream = Socket::new(stream);
         let reader = stream.clone();
         let (state, reports, limits) = (self.state.clone(), self.reports.clone(), self.limits.clone());
-        spawn(self.limits.stack, move || {
+        spawn(self.limits.coroutine_stack, move || {
             if let Err(why) = read_answers(reader, &state, &reports, &limits) {
-                note!("worker {address}: connection closed: {why}");
+                log_limited!("worker {address}: connection closed: {why}");
             }
             break_up(&state, &reports);
         })
@@ -670,15 +671,15 @@
             if self.outgoing.is_empty() {
                 return Ok(());
             }
-            match stream.write_within(self.outgoing.front(), self.limits.write_check) {
+            match stream.write_within(self.outgoing.front(), self.limits.write_check_interval) {
                 Ok(0) => return Err("closed".to_owned()),
                 Ok(n) => {
                     stalled = Duration::ZERO;
                     self.state.written.store(self.outgoing.wrote(n), Ordering::Release);
                 }
-                Err(e) if timed_out(&e) => {
-                    stalled += self.limits.write_check;
-                    if stalled >= self.limits.write_stall {
+                Err(e) if is_timeout(&e) => {
+                    stalled += self.limits.write_check_interval;
+                    if stalled >= self.limits.write_stall_timeout {
                         return Err("nothing could be written for long".to_owned());
                     }
                 }
@@ -824,18 +825,18 @@
 
 /// Reads answers until the connection ends.
 fn read_answers(mut stream: Socket, state: &State, reports: &Reports, limits: &Limits) -> Result<(), String> {
-    let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
-    stream.set_read_timeout(limits.frame_stall).map_err(|e| e.to_string())?;
+    let (mut ring, mut decoder) = (RingBuffer::new(limits.worker_buffer), Decoder::default());
+    stream.set_read_timeout(limits.reply_stall_timeout).map_err(|e| e.to_string())?;
     let end = loop {
-        match ring.fill(&mut stream) {
+        match ring.read_from(&mut stream) {
             Ok(0) => break Ok(()),
             Ok(_) => {}
             // Guards against an answer that stops short: nothing more comes behind it.
-            Err(e) if timed_out(&e) && decoder.midway() => break Err("a frame stopped midway".to_owned()),
-            Err(e) if timed_out(&e) => continue,
+            Err(e) if is_timeout(&e) && decoder.midway() => break Err("a frame stopped midway".to_owned()),
+            Err(e) if is_timeout(&e) => continue,
             Err(e) => break Err(e.to_string()),
         }
-        match answers(&mut decoder, &mut ring, state, reports, limits.answer) {
+        match answers(&mut decoder, &mut ring, state, reports, limits.max_reply) {
             Ok(()) => {}
             // Guards against a stream that is out of step: nothing after this can be trusted.
             Err(why) => break Err(format!("bad frame: {why}")),
@@ -846,7 +847,7 @@
 }
 
 fn answers(
-    decoder: &mut Decoder, ring: &mut Ring, state: &State, reports: &Reports, most: usize,
+    decoder: &mut Decoder, ring: &mut RingBuffer, state: &State, reports: &Reports, most: usize,
 ) -> Result<(), String> {
     while let Some(frame) = decoder.next(ring, most)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
@@ -883,7 +884,7 @@
                 let crowd = if told { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.ended(key, Report { outcome, warm, crowd, inflight, payload });
+                reports.ended(key, AttemptReport { outcome, warm, crowd, inflight, payload });
             }
         }
     }
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -1,11 +1,11 @@
 //! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Loads, questions
 //! and unloads use the model repository extension.
 use super::{Reports, Transport};
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{ChunkedDecoder, ChunkedItem, Head};
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Payload, Report, Request};
-use crate::net::{spawn, timed_out};
-use crate::ring::Ring;
+use crate::messages::{AttemptKey, AttemptReport, Payload, Request};
+use crate::net::{is_timeout, spawn};
+use crate::ring::RingBuffer;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use heronslip_policy::json::{as_text, list, object, parse, part, text, whole};
 use heronslip_policy::{FunctionId, Micros, Outcome};
@@ -52,9 +52,9 @@
         ("class", word(&request.class)),
         ("tenant", word(&request.tenant)),
         ("wait_ms", Value::Number(Number::U64(budget / 1000))),
-        ("retry", Value::Bool(request.retry)),
+        ("retry", Value::Bool(request.is_retry)),
     ];
-    told.extend(request.token.as_deref().map(|t| ("token", word(t))));
+    told.extend(request.idempotency_key.as_deref().map(|t| ("token", word(t))));
     let call = map(vec![
         ("id", word(&format!("{:016x}", request.wire_id))),
         ("parameters", map(told)),
@@ -133,14 +133,14 @@
         let load = self.state.load.fetch_add(1, Ordering::AcqRel) + 1;
         let _ = self.jobs.send(Job { what, bytes, cancelled, epoch, bound, until }); // its timer ends it at last
         let lanes = self.state.lanes.load(Ordering::Acquire);
-        if load > lanes && lanes < self.limits.lanes_per_worker {
+        if load > lanes && lanes < self.limits.connections_per_kserve_worker {
             self.state.lanes.fetch_add(1, Ordering::AcqRel);
             let (address, limits, reports) = (self.address, self.limits.clone(), self.reports.clone());
             let (state, queue) = (self.state.clone(), self.queue.clone());
             let lane = move || Lane { address, limits, reports, state, stream: None }.run(&queue);
-            if let Err(e) = spawn(self.limits.stack, lane) {
+            if let Err(e) = spawn(self.limits.coroutine_stack, lane) {
                 self.state.lanes.fetch_sub(1, Ordering::AcqRel);
-                note!("worker {}: no coroutine: {e}", self.address);
+                log_limited!("worker {}: no coroutine: {e}", self.address);
             }
         }
     }
@@ -179,7 +179,7 @@
     }
 
     fn connections(&self) -> (usize, bool) {
-        (self.state.lanes.load(Ordering::Acquire), false) // bounded by itself: see `Limits::lanes_per_worker`
+        (self.state.lanes.load(Ordering::Acquire), false) // bounded by itself: see `Limits::connections_per_kserve_worker`
     }
 
     fn idle_since(&self) -> Option<Instant> {
@@ -193,11 +193,11 @@
             let told = map(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
             let body = json::to_string(&map(vec![("parameters", told)]));
             let path = format!("/v2/repository/models/{function:016x}/load");
-            self.post(&path, self.limits.order, body.as_bytes())
+            self.post(&path, self.limits.load_command_timeout, body.as_bytes())
         } else {
-            self.post("/v2/repository/index", self.limits.order, b"{\"ready\":true}")
+            self.post("/v2/repository/index", self.limits.load_command_timeout, b"{\"ready\":true}")
         };
-        self.start(What::Order(order, function, copies), bytes, copies > 0, self.limits.order);
+        self.start(What::Order(order, function, copies), bytes, copies > 0, self.limits.load_command_timeout);
     }
 
     fn probe(&mut self, probe: u64) {
@@ -206,8 +206,8 @@
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
-        let bytes = self.post(&path, self.limits.order, b"{}");
-        self.start(What::Unload, bytes, false, self.limits.order);
+        let bytes = self.post(&path, self.limits.load_command_timeout, b"{}");
+        self.start(What::Unload, bytes, false, self.limits.load_command_timeout);
     }
 
     fn retire(&mut self) {
@@ -239,7 +239,7 @@
 impl Lane {
     fn run(mut self, queue: &Receiver<Job>) {
         loop {
-            match queue.recv_timeout(self.limits.worker_idle) {
+            match queue.recv_timeout(self.limits.worker_idle_timeout) {
                 Ok(job) => {
                     self.job(&job);
                     self.state.load.fetch_sub(1, Ordering::AcqRel);
@@ -260,7 +260,7 @@
             What::Attempt(key, foreign) => {
                 let report = match ended {
                     Ok(reply) => attempt_report(reply, *foreign),
-                    Err(outcome) => Report::bare(outcome),
+                    Err(outcome) => AttemptReport::without_reply(outcome),
                 };
                 self.reports.ended(*key, report);
             }
@@ -287,9 +287,13 @@
             return Err(Outcome::Moot);
         }
         let mut stream = match self.stream.take() {
-            Some((stream, used)) if used.elapsed() < self.limits.worker_idle && still_open(&stream) => stream,
+            Some((stream, used))
+                if used.elapsed() < self.limits.worker_idle_timeout && still_open(&stream) =>
+            {
+                stream
+            }
             _ => self.connect().map_err(|why| {
-                note!("worker {}: no connection: {why}", self.address);
+                log_limited!("worker {}: no connection: {why}", self.address);
                 Outcome::ConnectFailed
             })?,
         };
@@ -300,7 +304,7 @@
         self.write(&mut stream, job)?;
         let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
             if !job.cancelled.load(Ordering::Acquire) {
-                note!("worker {}: answer lost: {why}", self.address);
+                log_limited!("worker {}: answer lost: {why}", self.address);
             }
             // Wholly written and no whole answer: it may have run.
             Outcome::Reset
@@ -312,15 +316,16 @@
     }
 
     fn connect(&self) -> std::io::Result<TcpStream> {
-        let stream = TcpStream::connect_timeout(&self.address, self.limits.connect)?;
+        let stream = TcpStream::connect_timeout(&self.address, self.limits.connect_timeout)?;
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(self.limits.write_check))?;
-        stream.set_read_timeout(Some(self.limits.write_check))?;
+        stream.set_write_timeout(Some(self.limits.write_check_interval))?;
+        stream.set_read_timeout(Some(self.limits.write_check_interval))?;
         Ok(stream)
     }
 
     fn write(&self, stream: &mut TcpStream, job: &Job) -> Result<(), Outcome> {
-        let (mut ring, mut rest, mut stalled) = (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
+        let (mut ring, mut rest, mut stalled) =
+            (RingBuffer::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
         rest = &rest[ring.push(rest)..];
         debug_assert!(rest.is_empty());
         while !ring.is_empty() {
@@ -329,8 +334,8 @@
                     stalled = Duration::ZERO;
                     ring.consume(n);
                 }
-                Err(e) if timed_out(&e) && stalled < self.limits.write_stall => {
-                    stalled += self.limits.write_check;
+                Err(e) if is_timeout(&e) && stalled < self.limits.write_stall_timeout => {
+                    stalled += self.limits.write_check_interval;
                     if self.withheld(job) && ring.len() == job.bytes.len() {
                         return Err(Outcome::Moot);
                     }
@@ -344,16 +349,16 @@
 
     /// Reads one answer; whether the connection can carry another exchange.
     fn read(&self, stream: &mut TcpStream, job: &Job) -> Result<(Reply, bool), String> {
-        let mut ring = Ring::new(self.limits.client_ring);
+        let mut ring = RingBuffer::new(self.limits.client_buffer);
         let (mut head, mut body) = (Vec::new(), Vec::new());
         let mut told: Option<Head> = None;
-        let mut chunks = Chunked::default();
+        let mut chunks = ChunkedDecoder::default();
         let mut heard = Instant::now();
         loop {
             if let Some(known) = told.as_ref() {
                 let whole = match known.length {
                     Some(length) => {
-                        ring.take(length - body.len(), &mut body);
+                        ring.drain_into(length - body.len(), &mut body);
                         body.len() == length
                     }
                     None if known.chunked => chunked(&mut chunks, &mut ring, &mut body)?,
@@ -363,32 +368,32 @@
                     let reusable = !known.close && !known.chunked && ring.is_empty();
                     return Ok((Reply { status: known.status, body }, reusable));
                 }
-                if body.len() > self.limits.answer {
+                if body.len() > self.limits.max_reply {
                     return Err("the answer is too long".to_owned());
                 }
             }
-            while told.is_none() && ring.take(1, &mut head) > 0 {
+            while told.is_none() && ring.drain_into(1, &mut head) > 0 {
                 if head.ends_with(b"\r\n\r\n") {
-                    let known = Head::answer(&head)?;
-                    if known.length.is_some_and(|l| l > self.limits.answer) {
+                    let known = Head::parse_response(&head)?;
+                    if known.length.is_some_and(|l| l > self.limits.max_reply) {
                         return Err("the answer is too long".to_owned());
                     }
                     head.clear();
                     told = (known.status >= 200).then_some(known); // 100 Continue is passed over
-                } else if head.len() > self.limits.head {
+                } else if head.len() > self.limits.max_head {
                     return Err("the head is too long".to_owned());
                 }
             }
             if told.is_some() && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0))) {
                 continue;
             }
-            match ring.fill(stream) {
+            match ring.read_from(stream) {
                 Ok(0) => return Err("cut".to_owned()),
                 Ok(_) => heard = Instant::now(),
-                Err(e) if timed_out(&e) => {
+                Err(e) if is_timeout(&e) => {
                     // Guards against an answer that stops short, as with frames.
                     let begun = told.is_some() || !head.is_empty();
-                    if begun && heard.elapsed() > self.limits.frame_stall {
+                    if begun && heard.elapsed() > self.limits.reply_stall_timeout {
                         return Err("an answer stopped midway".to_owned());
                     }
                     // Closing the connection is how an exchange is given up.
@@ -404,17 +409,17 @@
 
 /// Whether a connection that lay idle still stands: nothing may wait in it, least of all its end.
 fn still_open(stream: &TcpStream) -> bool {
-    matches!(stream.inner().peek(&mut [0]), Err(e) if timed_out(&e))
+    matches!(stream.inner().peek(&mut [0]), Err(e) if is_timeout(&e))
 }
 
-fn chunked(chunks: &mut Chunked, ring: &mut Ring, body: &mut Vec<u8>) -> Result<bool, String> {
+fn chunked(chunks: &mut ChunkedDecoder, ring: &mut RingBuffer, body: &mut Vec<u8>) -> Result<bool, String> {
     let mut bytes = Vec::new();
-    ring.take(usize::MAX, &mut bytes);
+    ring.drain_into(usize::MAX, &mut bytes);
     for byte in bytes {
-        match chunks.byte(byte)? {
-            Coded::Byte(byte) => body.push(byte),
-            Coded::Nothing => {}
-            Coded::End => return Ok(true),
+        match chunks.decode(byte)? {
+            ChunkedItem::Content(byte) => body.push(byte),
+            ChunkedItem::Framing => {}
+            ChunkedItem::End => return Ok(true),
         }
     }
     Ok(false)
@@ -434,7 +439,7 @@
     }
 }
 
-fn attempt_report(reply: Reply, foreign: bool) -> Report {
+fn attempt_report(reply: Reply, foreign: bool) -> AttemptReport {
     let whole = fields(&reply.body);
     let answer = whole.as_ref().and_then(object);
     let told = answer.and_then(|a| part(a, "parameters"));
@@ -453,7 +458,7 @@
     if outcome == Outcome::Ok && payload.is_none() {
         outcome = Outcome::Error; // it ran, but what it said cannot be passed on
     }
-    Report { outcome, warm, crowd, inflight: None, payload }
+    AttemptReport { outcome, warm, crowd, inflight: None, payload }
 }
 
 fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
--- a/heronslip/src/worker/mod.rs
+++ b/heronslip/src/worker/mod.rs
@@ -3,7 +3,7 @@
 pub mod kserve;
 
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Message, Report, Request, Speech};
+use crate::messages::{AttemptKey, AttemptReport, Message, Request, WorkerProtocol};
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
@@ -16,18 +16,18 @@
 
 impl Reports {
     /// An attempt ended.
-    pub fn ended(&self, key: AttemptKey, report: Report) {
-        let _ = self.0.send(Message::Ended(key, report)); // the core only ends with the program
+    pub fn ended(&self, key: AttemptKey, report: AttemptReport) {
+        let _ = self.0.send(Message::AttemptEnded { key, report }); // the core only ends with the program
     }
 
     /// An order ended.
     pub fn ordered(&self, order: u64, outcome: Outcome, copies: u32) {
-        let _ = self.0.send(Message::Ordered(order, outcome, copies));
+        let _ = self.0.send(Message::LoadEnded { command: order, outcome, copies });
     }
 
     /// A probe ended.
     pub fn probed(&self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
-        let _ = self.0.send(Message::Probed(probe, outcome, inflight));
+        let _ = self.0.send(Message::ProbeEnded { probe, outcome, inflight });
     }
 }
 
@@ -63,10 +63,10 @@
 
 /// The transport for a worker's speech.
 pub fn transport(
-    speech: Speech, address: SocketAddr, limits: &Arc<Limits>, reports: &Reports,
+    speech: WorkerProtocol, address: SocketAddr, limits: &Arc<Limits>, reports: &Reports,
 ) -> Box<dyn Transport> {
     match speech {
-        Speech::Frames => Box::new(frames::Frames::new(address, limits.clone(), reports.clone())),
-        Speech::Kserve => Box::new(kserve::Kserve::new(address, limits.clone(), reports.clone())),
+        WorkerProtocol::Frames => Box::new(frames::Frames::new(address, limits.clone(), reports.clone())),
+        WorkerProtocol::Kserve => Box::new(kserve::Kserve::new(address, limits.clone(), reports.clone())),
     }
 }
--- a/heronslip/tests/clients.rs
+++ b/heronslip/tests/clients.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{call, connect, context, fastcgi, fastcgi_answer, fastcgi_front, PATIENCE};
-use heronslip::messages::{Answer, Client, Message, Payload};
+use heronslip::messages::{Client, Message, Payload, Response};
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
@@ -12,7 +12,7 @@
 /// The next request that reaches the core: its body, whom it is owed to and the tag.
 fn taken(queue: &Receiver<Message>) -> (Vec<u8>, Arc<dyn Client>, u64) {
     loop {
-        if let Message::Request(request, client, tag) = queue.recv_timeout(PATIENCE).expect("a request") {
+        if let Message::Request { request, client, tag } = queue.recv_timeout(PATIENCE).expect("a request") {
             return (request.payload.bytes().to_vec(), client, tag);
         }
     }
@@ -22,7 +22,7 @@
 /// add up to an end of the connection and of what else is open there.
 #[test]
 fn requests_turned_away_while_they_come_leave_the_connection_open() {
-    let (context, queue) = context(|limits| limits.held_bytes = 2_000);
+    let (context, queue) = context(|limits| limits.buffered_bytes = 2_000);
     let mut client = connect(fastcgi_front(&context));
     client.write_all(&call(9, "00000000000000a9", "9000", "open")).expect("written");
     assert_eq!(taken(&queue).0, b"open");
@@ -37,7 +37,7 @@
 /// A request is answered while it comes; its client sends no more of it and uses the id anew.
 #[test]
 fn an_id_answered_while_it_came_can_be_used_anew() {
-    let (context, queue) = context(|limits| limits.held_bytes = 2_000);
+    let (context, queue) = context(|limits| limits.buffered_bytes = 2_000);
     let mut client = connect(fastcgi_front(&context));
     let whole = call(1, "00000000000000a1", "9000", &"x".repeat(15_000));
     client.write_all(&whole[..whole.len() - 8]).expect("written"); // all but the record that ends it
@@ -54,13 +54,13 @@
     let mut client = connect(address);
     client.write_all(&call(1, "00000000000000a1", "9000", "first")).expect("written");
     let (_, owed, tag) = taken(&queue);
-    owed.answer(tag, Answer::Refused { wait: 0 });
+    owed.respond(tag, Response::Refused { retry_after: 0 });
     assert!(fastcgi_answer(&mut client).expect("an answer").0.starts_with("Status: 503"));
     let next = call(2, "00000000000000a2", "9000", "next");
     let (begin, rest) = next.split_at(20);
     client.write_all(begin).expect("written");
     let until = Instant::now() + PATIENCE;
-    while context.reading.load(Ordering::Acquire) == 0 {
+    while context.incoming_requests.load(Ordering::Acquire) == 0 {
         assert!(Instant::now() < until, "the part is not read");
         std::thread::yield_now();
     }
@@ -77,16 +77,16 @@
     let mut client = connect(fastcgi_front(&context));
     let question = fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"").repeat(500);
     // Until the socket takes no more answers; far below what may wait for one client.
-    while context.unsent.load(Ordering::Acquire) < 100_000 {
+    while context.unsent_bytes.load(Ordering::Acquire) < 100_000 {
         client.write_all(&question).expect("written");
     }
     client.shutdown(std::net::Shutdown::Write).expect("open");
-    while !matches!(queue.recv_timeout(PATIENCE).expect("it has left"), Message::Hangup(_)) {}
-    assert!(context.unsent.load(Ordering::Acquire) > 0, "still being written");
-    assert!(context.permits.take().is_none(), "two connections on one permit");
+    while !matches!(queue.recv_timeout(PATIENCE).expect("it has left"), Message::ClientDisconnected { .. }) {}
+    assert!(context.unsent_bytes.load(Ordering::Acquire) > 0, "still being written");
+    assert!(context.connection_limiter.acquire().is_none(), "two connections on one permit");
     client.read_to_end(&mut Vec::new()).expect("the rest");
     let until = Instant::now() + PATIENCE;
-    while context.permits.take().is_none() {
+    while context.connection_limiter.acquire().is_none() {
         assert!(Instant::now() < until, "the permit is not given back");
         std::thread::yield_now();
     }
@@ -95,7 +95,7 @@
 /// Others' requests fill the bytes held: what a client that reads is owed is still written to it.
 #[test]
 fn an_answer_comes_through_while_requests_fill_the_bytes_held() {
-    let (context, queue) = context(|limits| limits.held_bytes = 9_000);
+    let (context, queue) = context(|limits| limits.buffered_bytes = 9_000);
     let address = fastcgi_front(&context);
     let (mut client, mut other) = (connect(address), connect(address));
     client.write_all(&call(1, "00000000000000a1", "9000", "x")).expect("written");
@@ -104,12 +104,12 @@
     let whole = call(1, "00000000000000a3", "9000", &"z".repeat(7_900));
     other.write_all(&whole[..whole.len() - 8]).expect("written"); // all but the record that ends it
     let until = Instant::now() + PATIENCE;
-    while context.budget.used() < 8_000 {
+    while context.memory_budget.used() < 8_000 {
         assert!(Instant::now() < until, "the body is not read");
         std::thread::yield_now();
     }
     for tag in [tag, next] {
-        owed.answer(tag, Answer::Served(Payload::Bytes(vec![b'a'; 2_000])));
+        owed.respond(tag, Response::Served(Payload::Bytes(vec![b'a'; 2_000])));
         let (head, body, _) = fastcgi_answer(&mut client).expect("an answer");
         assert!(head.starts_with("Status: 200") && body.len() == 2_000, "{head}");
     }
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -1,8 +1,8 @@
 //! Readers of the wires, fed by hand.
 use heronslip::discovery::endpoints;
-use heronslip::http::{Chunked, Coded, Head};
-use heronslip::messages::Speech;
-use heronslip::ring::Ring;
+use heronslip::http::{ChunkedDecoder, ChunkedItem, Head};
+use heronslip::messages::WorkerProtocol;
+use heronslip::ring::RingBuffer;
 use heronslip::worker::frames::Decoder;
 use heronslip_policy::json::{object, parse};
 use heronslip_policy::WorkerState;
@@ -18,7 +18,7 @@
 /// Frames come out whole however they are cut, also across the ring's edge.
 #[rstest]
 fn frames_are_put_together(#[values(1, 3, 7, 50)] piece: usize) {
-    let (mut ring, mut decoder, mut bodies) = (Ring::new(64), Decoder::default(), Vec::new());
+    let (mut ring, mut decoder, mut bodies) = (RingBuffer::new(64), Decoder::default(), Vec::new());
     let stream = [answer(200, b"one"), answer(202, b""), answer(200, b"three")].concat();
     for part in stream.chunks(piece) {
         assert_eq!(ring.push(part), part.len());
@@ -38,7 +38,7 @@
 fn bad_frames_are_refused(#[case] at: usize, #[case] byte: u8) {
     let mut bytes = answer(200, b"body");
     bytes[at] = byte;
-    let mut ring = Ring::new(64);
+    let mut ring = RingBuffer::new(64);
     ring.push(&bytes);
     assert!(Decoder::default().next(&mut ring, 100).is_err());
 }
@@ -46,22 +46,22 @@
 /// What others can cause at full speed is written a few times a second, then counted.
 #[test]
 fn repeated_lines_are_counted() {
-    let line = heronslip::log::Line::new();
-    let written = (0..1_000).filter_map(|_| line.admit(7, format_args!("x"))).count();
+    let limit = heronslip::log::RateLimit::new();
+    let written = (0..1_000).filter_map(|_| limit.admit(7, format_args!("x"))).count();
     assert_eq!(written, 5);
-    assert_eq!(line.admit(8, format_args!("x")), Some("x (995 more such lines were left out)".to_owned()));
+    assert_eq!(limit.admit(8, format_args!("x")), Some("x (995 similar lines omitted)".to_owned()));
 }
 
 #[test]
 fn chunks_are_undone() {
-    let mut chunked = Chunked::default();
-    let coded: Vec<Coded> =
-        b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n".iter().map(|&b| chunked.byte(b).expect("sound")).collect();
+    let mut chunked = ChunkedDecoder::default();
+    let coded: Vec<ChunkedItem> =
+        b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n".iter().map(|&b| chunked.decode(b).expect("sound")).collect();
     let content: Vec<u8> =
-        coded.iter().filter_map(|c| if let Coded::Byte(b) = c { Some(*b) } else { None }).collect();
-    assert_eq!((content, coded.last()), (b"abcd".to_vec(), Some(&Coded::End)));
-    let mut broken = Chunked::default();
-    assert!(b"zz\r\n".iter().any(|&b| broken.byte(b).is_err()));
+        coded.iter().filter_map(|c| if let ChunkedItem::Content(b) = c { Some(*b) } else { None }).collect();
+    assert_eq!((content, coded.last()), (b"abcd".to_vec(), Some(&ChunkedItem::End)));
+    let mut broken = ChunkedDecoder::default();
+    assert!(b"zz\r\n".iter().any(|&b| broken.decode(b).is_err()));
 }
 
 #[rstest]
@@ -69,7 +69,7 @@
 #[case::negative("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n")]
 #[case::garbage("\0\r\n\r\n")]
 fn bad_heads_are_refused(#[case] head: &str) {
-    assert!(Head::request(head.as_bytes()).is_err());
+    assert!(Head::parse_request(head.as_bytes()).is_err());
 }
 
 /// Envoy's rules: an endpoint of unknown health takes work, one that drains takes nothing new.
@@ -87,5 +87,8 @@
     let json = parse(&text).expect("JSON");
     let members = endpoints(object(&json).expect("an object")).expect("sound");
     let m = &members[0];
-    assert_eq!((m.state, m.speech, &m.id[..], &m.zone[..], m.cell), (state, Speech::Kserve, "w1", "east", 3));
+    assert_eq!(
+        (m.state, m.protocol, &m.id[..], &m.zone[..], m.cell),
+        (state, WorkerProtocol::Kserve, "w1", "east", 3)
+    );
 }
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -36,10 +36,10 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-use heronslip::front::{accept, Acceptor, FrontContext};
-use heronslip::limits::{Budget, Limits};
+use heronslip::limits::{Limits, MemoryBudget};
 use heronslip::messages::Message;
-use heronslip::net::Permits;
+use heronslip::net::ConnectionLimiter;
+use heronslip::server::{accept_connections, Acceptor, ServerContext};
 use std::time::{Duration, Instant};
 
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
@@ -669,30 +669,30 @@
 }
 
 /// What fronts need, with the core's end of the queue.
-pub fn context(change: impl FnOnce(&mut Limits)) -> (FrontContext, Receiver<Message>) {
+pub fn context(change: impl FnOnce(&mut Limits)) -> (ServerContext, Receiver<Message>) {
     let mut limits = Limits::new(192, 256, &heronslip_policy::Settings::default());
     change(&mut limits);
-    heronslip::net::schedule(&limits);
+    heronslip::net::configure_scheduler(&limits);
     let (core, queue) = channel();
     let limits = Arc::new(limits);
-    let context = FrontContext {
+    let context = ServerContext {
         core,
-        budget: Budget::new(limits.held_bytes),
-        permits: Permits::new(limits.client_connections),
+        memory_budget: MemoryBudget::new(limits.buffered_bytes),
+        connection_limiter: ConnectionLimiter::new(limits.client_connections),
         limits,
-        unsent: Arc::default(),
+        unsent_bytes: Arc::default(),
         shared: Arc::default(),
-        reading: Arc::default(),
+        incoming_requests: Arc::default(),
         closing: Arc::default(),
     };
     (context, queue)
 }
 
 /// The FastCGI front of this context on a listener of its own.
-pub fn fastcgi_front(context: &FrontContext) -> SocketAddr {
+pub fn fastcgi_front(context: &ServerContext) -> SocketAddr {
     let acceptor = Acceptor::new(may::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let (address, context) = (acceptor.listener.local_addr().expect("bound"), context.clone());
-    let run = move || accept(&acceptor, &context, "test", heronslip::front::fastcgi::serve);
+    let run = move || accept_connections(&acceptor, &context, "test", heronslip::server::fastcgi::serve);
     heronslip::net::spawn(64 * 1024, run).expect("a coroutine");
     address
 }
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -18,8 +18,8 @@
     let (listener, fillers) = hanging_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &heronslip_policy::Settings::default());
-    limits.connect = Duration::from_secs(60);
-    heronslip::net::schedule(&limits);
+    limits.connect_timeout = Duration::from_secs(60);
+    heronslip::net::configure_scheduler(&limits);
     let (queue, _reports) = mpsc::channel();
     let mut transport = Frames::new(address, Arc::new(limits), Reports(queue));
     let request = Request {
@@ -28,15 +28,15 @@
         tenant: String::new(),
         function: 7,
         wait: 60_000_000,
-        read_at: Instant::now(),
-        token: None,
-        retry: false,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
         memory_mb: 0.0,
         lanes: 1,
         load_time: 0,
         payload: Payload::Bytes(Vec::new()),
-        held: None,
-        reading: None,
+        reservation: None,
+        incoming: None,
     };
     let key = AttemptKey { request: 1, attempt: 0 };
     transport.send(key, &Arc::new(request), 60_000_000, None);
--- a/heronslip/tests/limits.rs
+++ b/heronslip/tests/limits.rs
@@ -1,18 +1,18 @@
 //! Limits, and the budget of bytes.
-use heronslip::limits::{Budget, Limits};
+use heronslip::limits::{Limits, MemoryBudget};
 use heronslip_policy::Settings;
 use std::time::Duration;
 
 #[test]
 fn a_budget_refuses_what_it_lacks_and_takes_bytes_back() {
-    let budget = Budget::new(10);
-    let held = budget.take(8).expect("fits");
-    assert!(budget.take(3).is_none());
+    let budget = MemoryBudget::new(10);
+    let held = budget.reserve(8).expect("fits");
+    assert!(budget.reserve(3).is_none());
     let mut held = held;
     assert!(held.grow(2) && !held.grow(1));
     assert_eq!(budget.used(), 10);
     drop(held);
-    assert!(budget.take(10).is_some());
+    assert!(budget.reserve(10).is_some());
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let class = |aim| heronslip_policy::ClassSettings { aim, ..Default::default() };
     let set = |probe_price| {
         let classes = vec![class(550_000), class(410_000)];
-        Limits::new(192, 1024, &Settings { probe_price, classes, ..Settings::default() }).link_quiet
+        Limits::new(192, 1024, &Settings { probe_price, classes, ..Settings::default() }).liveness_check_after
     };
     assert_eq!(set(0.01), Duration::from_millis(200));
     assert!(set(0.08) > Duration::from_millis(550), "{:?}", set(0.08));
@@ -43,9 +43,9 @@
 /// What came last before the end may take as long as the longest deadline, and no signal ends it sooner.
 #[test]
 fn a_planned_end_waits_as_long_as_the_longest_deadline() {
-    assert!(classes(&[3_000_000, 14_000_000]).stop_at_last >= Duration::from_secs(14));
-    assert!(classes(&[400_000]).stop_at_last >= Duration::from_secs(3), "the platform counts it as 3 s");
-    assert!(classes(&[900_000_000]).longest_wait >= 900_000_000, "a wait that a class allows is read");
+    assert!(classes(&[3_000_000, 14_000_000]).shutdown_timeout >= Duration::from_secs(14));
+    assert!(classes(&[400_000]).shutdown_timeout >= Duration::from_secs(3), "the platform counts it as 3 s");
+    assert!(classes(&[900_000_000]).max_wait >= 900_000_000, "a wait that a class allows is read");
 }
 
 /// Another customer's clients may wait for less than what the answer's way is given at most.
@@ -53,7 +53,7 @@
 fn most_of_a_short_wait_is_left_to_workers() {
     let limits = classes(&[]);
     for wait in [1_000, 20_000, 80_000, 300_000, 3_000_000] {
-        assert!(limits.margin(wait) <= wait / 8, "{wait}");
+        assert!(limits.response_margin(wait) <= wait / 8, "{wait}");
     }
-    assert_eq!(limits.margin(3_000_000), limits.answer_margin);
+    assert_eq!(limits.response_margin(3_000_000), limits.max_response_margin);
 }
--- a/heronslip/tests/list_events.rs
+++ b/heronslip/tests/list_events.rs
@@ -2,7 +2,7 @@
 use heronslip::discovery::event_stream::{EventStream, StreamItem};
 use heronslip::discovery::json_array::ScanError;
 use heronslip::discovery::{EventBounds, EventError, EventReader, Table};
-use heronslip::messages::Member;
+use heronslip::messages::ListedWorker;
 use heronslip_policy::WorkerState;
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
 }
 
 /// Reads an event; its entries, how many could not be read, and whether it is the whole list.
-fn read(text: &str) -> Result<(Vec<Member>, usize, bool), EventError> {
+fn read(text: &str) -> Result<(Vec<ListedWorker>, usize, bool), EventError> {
     let mut reader = EventReader::new(BOUNDS);
     let (mut members, mut unreadable) = (Vec::new(), 0);
     for byte in text.bytes() {
--- a/heronslip/tests/ring.rs
+++ b/heronslip/tests/ring.rs
@@ -1,17 +1,17 @@
 //! The ring of bytes.
-use heronslip::ring::Ring;
+use heronslip::ring::RingBuffer;
 
 #[test]
 fn bytes_come_out_in_order_across_the_edge() {
-    let (mut ring, mut out, mut next) = (Ring::new(7), Vec::new(), 0u8);
+    let (mut ring, mut out, mut next) = (RingBuffer::new(7), Vec::new(), 0u8);
     for step in 0..40 {
         let data: Vec<u8> = (next..next + 5).collect();
         next += ring.push(&data) as u8;
-        ring.take(1 + step % 6, &mut out);
+        ring.drain_into(1 + step % 6, &mut out);
     }
     let mut left = &[9u8, 9][..];
-    ring.take(7, &mut out);
-    assert_eq!(ring.fill(&mut left).unwrap(), 2);
+    ring.drain_into(7, &mut out);
+    assert_eq!(ring.read_from(&mut left).unwrap(), 2);
     assert_eq!(out, (0..next).collect::<Vec<u8>>());
     ring.truncate(1);
     assert_eq!((ring.front(), ring.free()), (&[9u8][..], 6));
@@ -20,7 +20,7 @@
 /// Hundreds of connections each have two rings: one that holds little takes little, whatever it may hold.
 #[test]
 fn memory_follows_what_is_held() {
-    let (mut ring, mut out) = (Ring::new(64 * 1024), Vec::new());
+    let (mut ring, mut out) = (RingBuffer::new(64 * 1024), Vec::new());
     assert_eq!((ring.allocated(), ring.free()), (0, 64 * 1024));
     for _ in 0..1_000 {
         assert_eq!(ring.push(&[7; 300]), 300);
@@ -29,6 +29,6 @@
     assert!(ring.allocated() <= 1024);
     let data: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
     assert_eq!(ring.push(&data), 64 * 1024);
-    ring.take(usize::MAX, &mut out);
+    ring.drain_into(usize::MAX, &mut out);
     assert!(out == data[..64 * 1024] && ring.allocated() <= 8 * 1024, "{}", ring.allocated());
 }
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -15,7 +15,7 @@
 
 /// A transport to this address, on one scheduler thread as the program has it.
 fn frames(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> Frames {
-    heronslip::net::schedule(&limits);
+    heronslip::net::configure_scheduler(&limits);
     Frames::new(address, Arc::new(limits), Reports(reports))
 }
 
@@ -25,14 +25,14 @@
     let (listener, fillers) = hanging_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = Duration::from_secs(20);
+    limits.connect_timeout = Duration::from_secs(20);
     let (queue, reports) = mpsc::channel();
     let mut transport = frames(address, limits, queue);
     transport.order(1, 7, 1, None);
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::Moot),
+        Ok(Message::LoadEnded { command: 1, outcome, copies: 0 }) => assert_eq!(outcome, Outcome::Moot),
         _ => panic!("the order did not end"),
     }
     drop((transport, fillers)); // closes every connection from this side
@@ -49,7 +49,7 @@
     let (listener, fillers) = hanging_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = Duration::from_secs(20);
+    limits.connect_timeout = Duration::from_secs(20);
     let (queue, _reports) = mpsc::channel();
     let mut transport = frames(address, limits, queue);
     let since = Instant::now();
@@ -99,15 +99,15 @@
         tenant: String::new(),
         function: 7,
         wait: 1_000_000,
-        read_at: Instant::now(),
-        token: None,
-        retry: false,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
         memory_mb: 0.0,
         lanes: 1,
         load_time: 0,
         payload: Payload::Bytes(Vec::new()),
-        held: None,
-        reading: None,
+        reservation: None,
+        incoming: None,
     })
 }
 
@@ -149,7 +149,7 @@
     let (_, id, _) = command(&mut stream);
     reply(&mut stream, 203, id, fields);
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(_, report)) => assert_eq!(report.inflight, told),
+        Ok(Message::AttemptEnded { report, .. }) => assert_eq!(report.inflight, told),
         _ => panic!("the attempt did not end"),
     }
 }
@@ -190,7 +190,7 @@
 
 fn ended(reports: &mpsc::Receiver<Message>) -> (AttemptKey, Outcome) {
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(key, report)) => (key, report.outcome),
+        Ok(Message::AttemptEnded { key, report }) => (key, report.outcome),
         _ => panic!("no attempt ended"),
     }
 }
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -296,7 +296,7 @@
     fn cut(&mut self, now: Micros, n: usize) {
         self.watches[n].cut = Some(now);
         let limits = Limits::new(LIMITS.0, LIMITS.1, &self.settings);
-        let lost = now + limits.board_silence.as_micros() as Micros;
+        let lost = now + limits.discovery_silence_timeout.as_micros() as Micros;
         self.front_ends[n].put(lost, Incoming::Discovery(DiscoveryState::Lost));
     }
 
@@ -332,10 +332,14 @@
     fn next_call(&mut self, n: usize, cut: Micros, heal: Micros) -> Micros {
         let limits = Limits::new(LIMITS.0, LIMITS.1, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
-        let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, self.random.random());
-        let hangs = micros(limits.connect.min(limits.board_silence / 2));
+        let mut backoff = Backoff::new(
+            limits.discovery_initial_backoff,
+            limits.discovery_max_backoff,
+            self.random.random(),
+        );
+        let hangs = micros(limits.connect_timeout.min(limits.discovery_silence_timeout / 2));
         // Where in the board's comments the cut came is chance.
-        let mut at = cut + micros(limits.board_silence) - self.random.random_range(0..SECOND);
+        let mut at = cut + micros(limits.discovery_silence_timeout) - self.random.random_range(0..SECOND);
         while at < heal {
             self.failed_calls += 1;
             // One that hangs over the heal does too: its first packet is lost, and it ends before the next.
