--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -222,13 +222,13 @@
         let class = self.settings.class(&request.class);
         let tenant = self.settings.tenant(&request.tenant);
         let class_settings = self.settings.classes.get(class);
-        // Without its idempotency key no worker could drop a duplicate of a keyed request.
+        // Workers recognize duplicates by the idempotency key.
         let keyed = class_settings.is_some_and(|c| c.effect == Effect::Keyed);
         let error = match () {
             () if class_settings.is_none() => Some("unknown class"),
             () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
             () if keyed && request.idempotency_key.is_none() => {
-                Some("missing idempotency key in a keyed class")
+                Some("its class requires an idempotency key, and it has none")
             }
             // Two open requests with one id could not be told apart at a worker.
             () if self.open_wire_ids.contains(&request.wire_id) => {
@@ -344,7 +344,7 @@
                 describe(report.outcome)
             );
         }
-        let AttemptReport { outcome, warm, crowd, inflight, payload } = report;
+        let AttemptReport { outcome, warm, function_inflight, inflight, payload } = report;
         if let (Outcome::Ok, Some(payload)) = (outcome, payload) {
             self.respond(id, Response::Served(payload));
         }
@@ -356,7 +356,7 @@
             elapsed,
             closed,
             warm,
-            crowd,
+            crowd: function_inflight,
             inflight,
         });
     }
@@ -480,7 +480,7 @@
                     Some(_) => self.reports.ordered(command, Outcome::Moot, 0),
                     None => self.reports.ordered(command, Outcome::ConnectFailed, 0),
                 }
-                self.timers.schedule(now + self.limits.load_command_timeout, Timer::LoadTimeout(command));
+                self.timers.schedule(now + self.limits.command_timeout, Timer::LoadTimeout(command));
             }
             Action::Probe { worker } => {
                 log_limited!("worker {worker}: sending a probe, as it is no longer known to be ready");
@@ -588,7 +588,8 @@
         let mut entries = Vec::with_capacity(listed.len());
         for (index, listing) in listed.into_iter().enumerate() {
             if index < MAX_LOGGED_WORKERS {
-                log!("worker {}: {:?} at {}", listing.id, listing.state, listing.address);
+                // heronslip-scale reads this line.
+                log!("member {}: {:?} at {}", listing.id, listing.state, listing.address);
             }
             entries.push(self.update_worker(listing, &start_times));
         }
@@ -617,7 +618,7 @@
             state: listing.state,
             started_at,
             zone: position(&self.settings.zones, &listing.zone),
-            kind: position(&self.settings.kinds, &listing.machine_kind),
+            kind: position(&self.settings.kinds, &listing.machine_type),
             cell: listing.cell,
         };
         // A worker that moves gets a new transport: exchanges open at its former address end there.
--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -42,7 +42,7 @@
         },
         started_at: span(fields, "startedAtMs"),
         zone: text(fields, "zone").unwrap_or_default().to_owned(),
-        machine_kind: text(fields, "machineType").unwrap_or_default().to_owned(),
+        machine_type: text(fields, "machineType").unwrap_or_default().to_owned(),
         cell: whole(fields, "cell").unwrap_or(0),
         protocol: WorkerProtocol::Frames,
         id,
--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -41,7 +41,7 @@
 fn fingerprint(member: &ListedWorker) -> u64 {
     let mut hasher = DefaultHasher::new();
     (member.address, member.started_at, member.cell).hash(&mut hasher);
-    (member.zone.as_str(), member.machine_kind.as_str()).hash(&mut hasher);
+    (member.zone.as_str(), member.machine_type.as_str()).hash(&mut hasher);
     (member.state as u8).hash(&mut hasher);
     hasher.finish()
 }
@@ -139,7 +139,7 @@
         state: WorkerState::Gone,
         started_at: 0,
         zone: String::new(),
-        machine_kind: String::new(),
+        machine_type: String::new(),
         cell: 0,
         protocol: WorkerProtocol::Frames,
     }
--- a/heronslip/src/discovery/xds.rs
+++ b/heronslip/src/discovery/xds.rs
@@ -35,7 +35,7 @@
                     },
                     started_at: span(own, "started_at_ms"),
                     zone: zone.to_owned(),
-                    machine_kind: text(own, "kind").unwrap_or_default().to_owned(),
+                    machine_type: text(own, "kind").unwrap_or_default().to_owned(),
                     cell: whole(own, "cell").unwrap_or(0),
                     protocol: WorkerProtocol::Kserve,
                 });
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -114,6 +114,7 @@
 
 fn log_listener(name: &str, acceptor: &Acceptor) {
     let address = acceptor.listener.local_addr().map_or("?".to_owned(), |a| a.to_string());
+    // heronslip-scale reads this line.
     log!("start: {name} listens on {address}");
 }
 
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -78,7 +78,7 @@
     /// Timeout of a probe.
     pub probe_timeout: Micros,
     /// Timeout of a load command or copy query.
-    pub load_command_timeout: Micros,
+    pub command_timeout: Micros,
     /// The connection to the discovery service, which sends a comment each second, is renewed after this
     /// silence.
     pub discovery_silence_timeout: Duration,
@@ -159,11 +159,7 @@
             write_check_interval: Duration::from_millis(50),
             // A probe may first need a new connection; its reply takes as long as that to a liveness check.
             probe_timeout: (connect_timeout + liveness_check_timeout).as_micros() as Micros,
-            load_command_timeout: if settings.order_timeout > 0 {
-                settings.order_timeout
-            } else {
-                10_000_000
-            },
+            command_timeout: if settings.order_timeout > 0 { settings.order_timeout } else { 10_000_000 },
             // What a silent discovery service has to report counts as received after 4 s.
             discovery_silence_timeout: Duration::from_millis(2_500),
             discovery_check_interval: Duration::from_millis(50),
--- a/heronslip/src/messages.rs
+++ b/heronslip/src/messages.rs
@@ -61,7 +61,7 @@
     pub wait: Micros,
     /// When its last byte was read.
     pub received_at: Instant,
-    /// The idempotency key, required in keyed classes.
+    /// The idempotency key, required in classes whose duplicates workers drop.
     pub idempotency_key: Option<String>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
@@ -117,8 +117,8 @@
     pub outcome: Outcome,
     /// Whether a copy of the function was already loaded, if the worker reported it.
     pub warm: Option<bool>,
-    /// Requests of the same function at the worker, if it reported them.
-    pub crowd: Option<u32>,
+    /// Requests of the same function in flight at the worker, if it reported them.
+    pub function_inflight: Option<u32>,
     /// Requests in flight at the worker, if it reported them.
     pub inflight: Option<f64>,
     /// The body, with `Ok`.
@@ -128,7 +128,7 @@
 impl AttemptReport {
     /// Reports an attempt that ended without a reply of the worker.
     pub fn without_reply(outcome: Outcome) -> Self {
-        AttemptReport { outcome, warm: None, crowd: None, inflight: None, payload: None }
+        AttemptReport { outcome, warm: None, function_inflight: None, inflight: None, payload: None }
     }
 }
 
@@ -155,8 +155,8 @@
     pub started_at: Micros,
     /// Name of its zone.
     pub zone: String,
-    /// Name of its machine kind.
-    pub machine_kind: String,
+    /// Name of its machine type.
+    pub machine_type: String,
     /// Its cell.
     pub cell: u64,
     /// The protocol it speaks.
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -884,7 +884,8 @@
                 let crowd = if told { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.ended(key, AttemptReport { outcome, warm, crowd, inflight, payload });
+                reports
+                    .ended(key, AttemptReport { outcome, warm, function_inflight: crowd, inflight, payload });
             }
         }
     }
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -193,11 +193,11 @@
             let told = map(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
             let body = json::to_string(&map(vec![("parameters", told)]));
             let path = format!("/v2/repository/models/{function:016x}/load");
-            self.post(&path, self.limits.load_command_timeout, body.as_bytes())
+            self.post(&path, self.limits.command_timeout, body.as_bytes())
         } else {
-            self.post("/v2/repository/index", self.limits.load_command_timeout, b"{\"ready\":true}")
+            self.post("/v2/repository/index", self.limits.command_timeout, b"{\"ready\":true}")
         };
-        self.start(What::Order(order, function, copies), bytes, copies > 0, self.limits.load_command_timeout);
+        self.start(What::Order(order, function, copies), bytes, copies > 0, self.limits.command_timeout);
     }
 
     fn probe(&mut self, probe: u64) {
@@ -206,8 +206,8 @@
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
-        let bytes = self.post(&path, self.limits.load_command_timeout, b"{}");
-        self.start(What::Unload, bytes, false, self.limits.load_command_timeout);
+        let bytes = self.post(&path, self.limits.command_timeout, b"{}");
+        self.start(What::Unload, bytes, false, self.limits.command_timeout);
     }
 
     fn retire(&mut self) {
@@ -458,7 +458,7 @@
     if outcome == Outcome::Ok && payload.is_none() {
         outcome = Outcome::Error; // it ran, but what it said cannot be passed on
     }
-    AttemptReport { outcome, warm, crowd, inflight: None, payload }
+    AttemptReport { outcome, warm, function_inflight: crowd, inflight: None, payload }
 }
 
 fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
--- a/scale/src/node/process.rs
+++ b/scale/src/node/process.rs
@@ -27,7 +27,7 @@
 impl Log {
     fn take(&mut self, line: String) {
         self.lines += 1;
-        if let Some((id, _)) = line.strip_prefix("worker ").and_then(|l| l.split_once(": Ready")) {
+        if let Some((id, _)) = line.strip_prefix("member ").and_then(|l| l.split_once(": Ready")) {
             self.members.push((id.to_owned(), Instant::now()));
         }
         if self.last.len() == LINES_KEPT {
