--- a/heronslip/tests/crossings.rs
+++ b/heronslip/tests/crossings.rs
@@ -1,93 +1,96 @@
-//! The list changes while calls are out: each test holds both sides and forces one order of events.
+//! The worker list changes while calls are in flight. Each test plays the worker and the discovery service,
+//! and so forces one order of events.
 mod common;
 
 use common::{call, connect, fastcgi_answer, instance, tell, Hand, Plan, Stage};
 use std::io::Write;
 
-/// An id's address changes with a call in flight: what is out at the old address is still answered there.
+/// A worker's address changes with a call in flight: the reply from the old address must still reach the
+/// client, and the call must not be sent again.
 #[test]
-fn a_worker_that_moves_still_answers_what_is_out() {
+fn a_worker_that_moves_still_answers_calls_in_flight() {
     let (mut old, new) = (Hand::new(), Hand::new());
     let stage = Stage::with(Plan { workers: vec![old.address()], ..Plan::default() });
     let (_, mut board) = stage.board_call();
     let mut client = connect(stage.front);
     client.write_all(&call(1, "00000000000000a1", "9000", "x")).expect("written");
-    let out = old.command();
+    let call = old.command();
     tell(&mut board, 2, false, &[instance("w0", new.address(), "ready", 0)]);
     stage.shows(&format!(r#""address":"{}","name":"w0""#, new.address()));
-    old.serve(out.id, "DONE");
-    let (head, body, _) = fastcgi_answer(&mut client).expect("an answer");
+    old.serve(call.id, "DONE");
+    let (head, body, _) = fastcgi_answer(&mut client).expect("a response");
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
-    assert!(new.untouched(), "it was sent again");
+    assert!(new.untouched(), "the call was sent again");
 }
 
-/// A known worker moves to the address of another, of whose end nothing has been told: calls by the other's
-/// account, and its cold budget, must not reach the one that stands there now.
+/// A known worker moves to the address of another before the list reports the other's end. Calls that are
+/// accounted to the other, and its slow start, must not reach the worker that is there now.
 #[test]
-fn a_worker_that_moves_takes_the_place_of_the_one_before() {
+fn a_worker_that_moves_replaces_the_one_at_its_address() {
     let (first, second) = (Hand::new(), Hand::new());
     let workers = vec![first.address(), second.address()];
     let stage = Stage::with(Plan { workers, ..Plan::default() });
     let (_, mut board) = stage.board_call();
     tell(&mut board, 2, false, &[instance("w0", second.address(), "ready", 0)]);
-    stage.listed("w1", "absent", "another stands at its address");
+    stage.listed("w1", "absent", "another worker has its address");
     stage.listed("w0", "ready", "it has moved");
-    // The late word of the other's end changes nothing for the one that is there.
+    // The late report of the other's end must not affect the worker that is there.
     tell(&mut board, 3, false, &[instance("w1", second.address(), "gone", 0)]);
     tell(&mut board, 4, false, &[instance("w2", first.address(), "ready", 0)]);
-    stage.listed("w2", "ready", "the last event is in");
-    stage.listed("w0", "ready", "it still stands there");
+    stage.listed("w2", "ready", "the last event is applied");
+    stage.listed("w0", "ready", "it is still there");
 }
 
-/// One list names two workers at one address, the older one last: the one that started later stands there.
+/// A list has two workers at one address, the older one last: only the one that started later must be kept.
 #[test]
-fn of_two_workers_at_one_address_the_later_start_counts() {
+fn of_two_workers_at_one_address_the_later_start_is_kept() {
     let (first, second) = (Hand::new(), Hand::new());
     let stage = Stage::with(Plan { workers: vec![first.address()], ..Plan::default() });
     let (_, mut board) = stage.board_call();
     let at = second.address();
     tell(&mut board, 2, true, &[instance("new", at, "ready", 5), instance("old", at, "ready", 0)]);
     stage.listed("new", "ready", "it started later");
-    stage.listed("old", "absent", "it cannot stand there");
+    stage.listed("old", "absent", "it cannot be at the same address");
 }
 
-/// A whole list leaves out a worker with a call in flight: the call is answered, nothing new goes there.
+/// A full list leaves out a worker with a call in flight: its reply must still reach the client, and no new
+/// call may be sent to it.
 #[test]
-fn a_worker_left_out_of_a_whole_list_answers_what_is_out() {
-    let (mut left, mut kept) = (Hand::new(), Hand::new());
-    let stage = Stage::with(Plan { workers: vec![left.address()], ..Plan::default() });
+fn a_worker_left_out_of_a_full_list_answers_calls_in_flight() {
+    let (mut left_out, mut kept) = (Hand::new(), Hand::new());
+    let stage = Stage::with(Plan { workers: vec![left_out.address()], ..Plan::default() });
     let (_, mut board) = stage.board_call();
     let mut client = connect(stage.front);
     client.write_all(&call(1, "00000000000000a1", "9000", "x")).expect("written");
-    let out = left.command();
+    let first = left_out.command();
     tell(&mut board, 2, true, &[instance("kept", kept.address(), "ready", 0)]);
-    stage.listed("kept", "ready", "the list is in");
+    stage.listed("kept", "ready", "the list is applied");
     client.write_all(&call(2, "00000000000000a2", "9000", "y")).expect("written");
-    let next = kept.command();
-    assert_eq!(next.body, b"y");
-    left.serve(out.id, "OLD");
-    let (head, body, _) = fastcgi_answer(&mut client).expect("an answer");
+    let second = kept.command();
+    assert_eq!(second.body, b"y");
+    left_out.serve(first.id, "OLD");
+    let (head, body, _) = fastcgi_answer(&mut client).expect("a response");
     assert!(head.starts_with("Status: 200") && body == b"OLD", "{head}");
-    kept.serve(next.id, "NEW");
-    assert_eq!(fastcgi_answer(&mut client).expect("an answer").1, b"NEW");
-    stage.listed("w0", "absent", "nothing is out there any more");
+    kept.serve(second.id, "NEW");
+    assert_eq!(fastcgi_answer(&mut client).expect("a response").1, b"NEW");
+    stage.listed("w0", "absent", "no call is in flight there any more");
 }
 
-/// A late start is told after sends began: what waits is not lost, what is out is answered once.
+/// The list reports a worker's recent start while a call to it is in flight: the call must still be answered.
 #[test]
-fn a_late_start_told_after_a_send_leaves_it_its_answer() {
+fn a_start_time_reported_after_a_send_does_not_lose_the_reply() {
     let mut worker = Hand::new();
     let stage = Stage::with(Plan { workers: vec![worker.address()], ..Plan::default() });
     let (_, mut board) = stage.board_call();
     let mut client = connect(stage.front);
     client.write_all(&call(1, "00000000000000a1", "9000", "x")).expect("written");
-    let out = worker.command();
+    let call = worker.command();
     let (address, now) = (worker.address(), std::time::SystemTime::now());
     let started = now.duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis() as u64;
-    let new = instance("other", "127.0.0.1:9".parse().expect("an address"), "draining", 0);
-    tell(&mut board, 2, false, &[instance("w0", address, "ready", started), new]);
-    stage.listed("other", "draining", "the event is in");
-    worker.serve(out.id, "DONE");
-    let (head, body, _) = fastcgi_answer(&mut client).expect("an answer");
+    let other = instance("other", "127.0.0.1:9".parse().expect("an address"), "draining", 0);
+    tell(&mut board, 2, false, &[instance("w0", address, "ready", started), other]);
+    stage.listed("other", "draining", "the event is applied");
+    worker.serve(call.id, "DONE");
+    let (head, body, _) = fastcgi_answer(&mut client).expect("a response");
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
 }
--- a/heronslip/tests/ending.rs
+++ b/heronslip/tests/ending.rs
@@ -1,4 +1,5 @@
-//! A planned end, its parts held at gates: what has connected, and what is on its way between coroutines.
+//! Graceful shutdown: connections that wait to be accepted, and requests on their way between coroutines. The
+//! tests block coroutines to force the order of events.
 mod common;
 
 use common::{connect, context, fastcgi, fastcgi_front, PATIENCE};
@@ -12,52 +13,57 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+/// Where the first call of `block_then_write` reports that it runs and waits to be released.
 static GATE: Mutex<Option<(Sender<()>, Receiver<()>)>> = Mutex::new(None);
 
-/// Holds the scheduler's one thread at the gate, then says one byte.
-fn say_one(mut stream: Socket, _: &ServerContext, _permit: ConnectionPermit) {
-    if let Some((here, open)) = GATE.lock().expect("sound").take() {
-        here.send(()).expect("awaited");
-        open.recv().expect("opened");
+/// Blocks the scheduler's only thread at the gate on its first call, then writes one byte.
+fn block_then_write(mut stream: Socket, _: &ServerContext, _permit: ConnectionPermit) {
+    if let Some((arrived, released)) = GATE.lock().expect("sound").take() {
+        arrived.send(()).expect("awaited");
+        released.recv().expect("released");
     }
     stream.write_within(b"1", PATIENCE).expect("written");
     let _ = stream.read(&mut [0]); // until the client leaves
 }
 
-/// Connections wait to be accepted when the listener is to close: all of them are taken in first.
+/// Connections wait to be accepted when the listeners are about to close: all of them must be accepted first.
+/// A listener that closes earlier resets them, and their requests are lost.
 #[test]
-fn what_has_connected_is_taken_in_before_the_listener_closes() {
+fn waiting_connections_are_accepted_before_the_listener_closes() {
     let (context, _queue) = context(|limits| limits.shutdown_listen_time = PATIENCE);
     let acceptor = Acceptor::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = acceptor.listener.local_addr().expect("bound");
-    let ((open, opened), (here, arrived)) = (channel(), channel());
-    *GATE.lock().expect("sound") = Some((here, opened));
-    let (inside, within) = (acceptor.clone(), context.clone());
-    spawn(64 * 1024, move || accept_connections(&inside, &within, "test", say_one)).expect("a coroutine");
+    let ((release, released), (arrive, arrived)) = (channel(), channel());
+    *GATE.lock().expect("sound") = Some((arrive, released));
+    let (accepting, server_context) = (acceptor.clone(), context.clone());
+    spawn(64 * 1024, move || accept_connections(&accepting, &server_context, "test", block_then_write))
+        .expect("a coroutine");
     let mut clients = vec![connect(address)];
-    arrived.recv_timeout(PATIENCE).expect("the first connection is taken");
+    arrived.recv_timeout(PATIENCE).expect("the first connection is accepted");
     clients.extend((1..20).map(|_| connect(address)));
     let closing = std::thread::spawn({
         let (acceptor, context) = (acceptor.clone(), context.clone());
         move || heronslip::shutdown::close_listeners(&[acceptor], &context)
     });
-    // A listener that does not wait is shut within this; one that waits is held by the gate, however long.
-    let until = Instant::now() + Duration::from_millis(300);
-    while Instant::now() < until && !closing.is_finished() {
+    // Without the wait for pending connections the listener would close within this time. With it the
+    // listener stays open until the gate opens.
+    let deadline = Instant::now() + Duration::from_millis(300);
+    while Instant::now() < deadline && !closing.is_finished() {
         std::thread::yield_now();
     }
-    assert!(context.closing.load(Ordering::Acquire), "it has begun to close");
-    open.send(()).expect("awaited");
+    assert!(context.closing.load(Ordering::Acquire), "closing has begun");
+    release.send(()).expect("awaited");
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.read(&mut [0]).ok(), Some(1), "client {n}");
     }
     closing.join().expect("closed");
-    assert!(std::net::TcpStream::connect(address).is_err(), "it still listens");
+    assert!(std::net::TcpStream::connect(address).is_err(), "the listener is still open");
 }
 
-/// A request that the reader has handed over and the core has not taken yet is still counted.
+/// A request that is queued for the core must count as incoming until the core has handled it. Otherwise a
+/// shutdown could end before.
 #[test]
-fn a_request_on_its_way_to_the_core_is_counted() {
+fn a_request_queued_for_the_core_is_counted() {
     let (context, queue) = context(|_| ());
     let mut client = connect(fastcgi_front(&context));
     let params = [
@@ -67,13 +73,13 @@
         ("HTTP_REQ_KEY", common::FUNCTION),
     ];
     client.write_all(&fastcgi(1, &params, b"x")).expect("written");
-    let message = queue.recv_timeout(PATIENCE).expect("handed over");
+    let message = queue.recv_timeout(PATIENCE).expect("the queued request");
     assert!(matches!(message, Message::Request { .. }));
-    // The reader goes on to wait for more: its part is done once it has seen the next, bad one through.
+    // The reader is done with the first request once it has rejected the next one.
     client.write_all(&fastcgi(2, &[], b"")).expect("written");
-    assert!(common::fastcgi_answer(&mut client).expect("an answer").0.starts_with("Status: 400"));
-    let until = Instant::now() + PATIENCE;
-    while context.incoming_requests.load(Ordering::Acquire) > 1 && Instant::now() < until {
+    assert!(common::fastcgi_answer(&mut client).expect("a response").0.starts_with("Status: 400"));
+    let deadline = Instant::now() + PATIENCE;
+    while context.incoming_requests.load(Ordering::Acquire) > 1 && Instant::now() < deadline {
         std::thread::yield_now();
     }
     assert_eq!(context.incoming_requests.load(Ordering::Acquire), 1);
--- a/heronslip/tests/fronts.rs
+++ b/heronslip/tests/fronts.rs
@@ -1,12 +1,12 @@
-//! The program as clients and workers meet it: every scenario through both fronts, to workers of both speeches.
+//! Scenarios of requests, each run with both client protocols and both worker protocols.
 mod common;
 
 use common::{Speech, Stage};
 use rstest::rstest;
 use Speech::{Kserve, Platform};
 
-/// One of each end that a request may come to.
-const MIX: &str = "
+/// Requests with different outcomes: served, retried after a lost or rejected attempt, failed.
+const MIXED_REQUESTS: &str = "
     client send tile-render - one 3000
     worker expect tile-render - one
     worker send ok ONE
@@ -31,15 +31,15 @@
     worker expect nothing later
 ";
 
-/// A connection that is of no further use ends, and what was open on it goes elsewhere, once.
+/// A worker connection on which a reply stops midway is closed, and the call is sent to another worker once.
 #[rstest]
 #[case::stops_midway("worker send stall\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
-fn useless_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
+fn stalled_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
     let stage = Stage::new(workers);
     stage.play(Platform, &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"));
 }
 
-/// A connection that stays open and mute ends too; one on which a call only takes long does not.
+/// A worker connection that stays open but silent is closed too. One on which a call only takes long is not.
 #[rstest]
 #[case::mute("worker hush\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
 #[case::slow("wait 600\nworker send ok X\nclient expect served X\nworker expect nothing")]
@@ -48,21 +48,23 @@
     Stage::new(Platform).play(Platform, &format!("{send}\n{then}"));
 }
 
-/// The same mix through either front to either kind of worker comes to the same ends, and workers see the same.
+/// The same requests have the same outcomes, and workers receive the same calls, with each pair of protocols.
 #[test]
-fn the_same_mix_ends_alike_on_every_path() {
+fn outcomes_are_the_same_with_all_protocols() {
     let stages = [Platform, Kserve].map(Stage::new);
-    let seen: Vec<Vec<String>> =
-        stages.iter().flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIX))).collect();
-    assert_eq!(seen[0].len(), 11);
-    for other in &seen[1..] {
-        assert_eq!(&seen[0], other);
+    let transcripts: Vec<Vec<String>> = stages
+        .iter()
+        .flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIXED_REQUESTS)))
+        .collect();
+    assert_eq!(transcripts[0].len(), 11);
+    for other in &transcripts[1..] {
+        assert_eq!(&transcripts[0], other);
     }
 }
 
 #[rstest]
-// What the class allows: a keyed request goes no further than the hall that drops its repeats.
-#[case::keyed_stays_in_its_hall(
+// Only the workers of one hall drop duplicates of this class: a request that may have run must stay there.
+#[case::deduplicated_request_stays_in_its_hall(
     "
     client send tile-order k1 x 700
     worker expect tile-order k1 x
@@ -72,8 +74,8 @@
     client expect failed
     worker expect nothing"
 )]
-// An error may have run: the key protects the resend.
-#[case::keyed_after_an_error(
+// A call that returned an error may have run: the idempotency key makes sending it again safe.
+#[case::deduplicated_request_is_retried_after_an_error(
     "
     client send tile-order k2 x 2000
     worker expect tile-order k2 x
@@ -82,8 +84,8 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// Nothing ran anywhere: refused, and trying again is harmless.
-#[case::full_everywhere(
+// The call ran nowhere: the request is refused, so that the client may retry.
+#[case::rejected_by_all_workers(
     "
     client send tile-order k3 x 2000
     worker expect tile-order k3 x
@@ -94,7 +96,7 @@
     worker send full
     client expect refused"
 )]
-#[case::miss_goes_elsewhere(
+#[case::retried_elsewhere_after_a_miss(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
@@ -103,7 +105,7 @@
     worker send ok DONE
     client expect served DONE"
 )]
-#[case::cut_answer_of_a_safe_class(
+#[case::retried_after_a_truncated_reply_in_a_safe_class(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
@@ -112,8 +114,8 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// A worker that says nothing: our own timer ends the request, and its late answer goes nowhere.
-#[case::late_answers_are_dropped(
+// A worker that does not reply: the front end's own timer ends the request, and the late reply is dropped.
+#[case::late_replies_are_dropped(
     "
     client send tile-order k4 x 300
     worker expect tile-order k4 x
@@ -131,7 +133,7 @@
     client expect failed
     worker expect nothing"
 )]
-#[case::a_client_that_leaves_is_owed_nothing(
+#[case::request_of_a_disconnected_client_is_not_retried(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while what they asked for waits somewhere: nothing of it begins any more.
+//! Clients that disconnect or cancel while their calls wait: such a call must not be sent any more.
 mod common;
 
 use common::stand_ins::hanging_listener;
@@ -12,9 +12,9 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-/// A call waits for its connection, is given up, and only then the connection comes up: nothing is written on it.
+/// A call is cancelled while its connection is being established: it must not be written once that is open.
 #[test]
-fn a_call_given_up_while_its_connection_comes_up_is_not_written() {
+fn a_call_cancelled_while_connecting_is_not_written() {
     let (listener, fillers) = hanging_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &heronslip_policy::Settings::default());
@@ -42,41 +42,42 @@
     transport.send(key, &Arc::new(request), 60_000_000, None);
     transport.cancel(key);
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
-    // What waits is written before the connection is let go.
+    // The unload command is still written before the connection closes.
     transport.unload(7);
     drop((transport, fillers));
     for mut stream in accepted {
         let mut got = Vec::new();
         stream.read_to_end(&mut got).expect("closed");
-        assert!(got.is_empty() || got[1] == 8, "more than the order to unload: {got:?}");
+        assert!(got.is_empty() || got[1] == 8, "more than the unload command: {got:?}");
     }
 }
 
-/// A client leaves with as many requests open as its connection takes: the close is seen, and all are taken back.
+/// A client disconnects with the maximum of open requests on its connection: the disconnection must be
+/// noticed, and all attempts cancelled.
 #[test]
-fn a_client_that_leaves_at_its_cap_takes_all_back() {
+fn all_calls_of_a_client_that_disconnects_at_its_limit_are_cancelled() {
     let mut worker = Hand::new();
     let stage = Stage::with(Plan { workers: vec![worker.address()], ..Plan::default() });
     let mut client = connect(stage.front);
-    let mut out = BTreeSet::new();
+    let mut in_flight = BTreeSet::new();
     for n in 1..=32u16 {
         client.write_all(&call(n, &format!("{n:016x}"), "60000", "x")).expect("written");
-        out.insert(worker.command().id);
+        in_flight.insert(worker.command().id);
     }
-    assert_eq!(out.len(), 32);
+    assert_eq!(in_flight.len(), 32);
     client.write_all(&call(33, "00000000000000a1", "60000", "x")).expect("written");
-    assert_eq!(fastcgi_answer(&mut client).expect("an answer").2, 2, "overloaded");
+    assert_eq!(fastcgi_answer(&mut client).expect("a response").2, 2, "overloaded");
     drop(client);
-    while !out.is_empty() {
+    while !in_flight.is_empty() {
         let command = worker.command();
-        assert!(command.code == 3 && out.remove(&command.id), "code {}", command.code);
+        assert!(command.code == 3 && in_flight.remove(&command.id), "code {}", command.code);
     }
     stage.shows(r#""open_requests":0"#);
 }
 
-/// A client leaves while its request waits for a load: once the copy stands, nothing is sent for it.
+/// A client disconnects while its call waits for a load: once the copy is loaded, the call must not be sent.
 #[test]
-fn a_client_that_leaves_while_its_call_waits_for_a_load_is_forgotten() {
+fn a_call_whose_client_disconnects_during_a_load_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let workers = vec![listener.local_addr().expect("bound")];
     let settings = common::SETTINGS.replace(r#""when-absent":"load""#, r#""when-absent":"miss""#);
@@ -86,12 +87,12 @@
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     let load = loop {
-        let order = Received::read(&mut stream).expect("an order");
-        assert_eq!(order.code, 6, "a call before the copy stands");
-        if order.field("slots_up") != "0" {
-            break order;
+        let command = Received::read(&mut stream).expect("a command");
+        assert_eq!(command.code, 6, "a call before the copy is loaded");
+        if command.field("slots_up") != "0" {
+            break command;
         }
-        stream.write_all(&frame(200, order.id, "slots_up=0", &[])).expect("written");
+        stream.write_all(&frame(200, command.id, "slots_up=0", &[])).expect("written");
     };
     drop(client);
     stage.shows(r#""open_requests":0"#);
--- a/heronslip/tests/limits.rs
+++ b/heronslip/tests/limits.rs
@@ -1,57 +1,63 @@
-//! Limits, and the budget of bytes.
+//! Limits and the memory budget.
 use heronslip::limits::{Limits, MemoryBudget};
 use heronslip_policy::Settings;
 use std::time::Duration;
 
 #[test]
-fn a_budget_refuses_what_it_lacks_and_takes_bytes_back() {
+fn a_budget_rejects_what_exceeds_it_and_reuses_released_bytes() {
     let budget = MemoryBudget::new(10);
-    let held = budget.reserve(8).expect("fits");
+    let mut reservation = budget.reserve(8).expect("within the budget");
     assert!(budget.reserve(3).is_none());
-    let mut held = held;
-    assert!(held.grow(2) && !held.grow(1));
+    assert!(reservation.grow(2) && !reservation.grow(1));
     assert_eq!(budget.used(), 10);
-    drop(held);
+    drop(reservation);
     assert!(budget.reserve(10).is_some());
 }
 
 #[test]
-fn clients_leave_descriptors_for_workers_and_board() {
+fn clients_leave_descriptors_for_workers_and_discovery() {
     let limits = Limits::new(192, 1024, &Settings::default());
-    assert!(limits.client_connections > 1024 / 3, "a third of the limit are clients'");
+    assert!(limits.client_connections > 1024 / 3, "clients may use a third of the limit");
     assert!(2 * limits.client_connections + 100 < 1024);
 }
 
-/// A word of a quiet connection is priced like a probe: where that is dear, no usual call may cause one.
+/// A liveness check costs as much as a probe. Where probes are expensive, no call of usual duration may cause
+/// one.
 #[test]
-fn words_that_cost_much_wait_until_calls_are_late() {
+fn expensive_liveness_checks_wait_until_calls_are_late() {
     let class = |aim| heronslip_policy::ClassSettings { aim, ..Default::default() };
-    let set = |probe_price| {
+    let check_after = |probe_price| {
         let classes = vec![class(550_000), class(410_000)];
         Limits::new(192, 1024, &Settings { probe_price, classes, ..Settings::default() }).liveness_check_after
     };
-    assert_eq!(set(0.01), Duration::from_millis(200));
-    assert!(set(0.08) > Duration::from_millis(550), "{:?}", set(0.08));
+    assert_eq!(check_after(0.01), Duration::from_millis(200));
+    assert!(check_after(0.08) > Duration::from_millis(550), "{:?}", check_after(0.08));
 }
 
-fn classes(give_up: &[u64]) -> Limits {
+fn limits_of_classes(give_up: &[u64]) -> Limits {
     let class = |&give_up: &u64| heronslip_policy::ClassSettings { give_up, ..Default::default() };
     let classes = give_up.iter().map(class).collect();
     Limits::new(192, 1024, &Settings { classes, ..Settings::default() })
 }
 
-/// What came last before the end may take as long as the longest deadline, and no signal ends it sooner.
+/// The last request before a shutdown may take as long as the longest client timeout.
 #[test]
-fn a_planned_end_waits_as_long_as_the_longest_deadline() {
-    assert!(classes(&[3_000_000, 14_000_000]).shutdown_timeout >= Duration::from_secs(14));
-    assert!(classes(&[400_000]).shutdown_timeout >= Duration::from_secs(3), "the platform counts it as 3 s");
-    assert!(classes(&[900_000_000]).max_wait >= 900_000_000, "a wait that a class allows is read");
+fn a_graceful_shutdown_waits_as_long_as_the_longest_client_timeout() {
+    assert!(limits_of_classes(&[3_000_000, 14_000_000]).shutdown_timeout >= Duration::from_secs(14));
+    assert!(
+        limits_of_classes(&[400_000]).shutdown_timeout >= Duration::from_secs(3),
+        "the platform allows 3 s"
+    );
+    assert!(
+        limits_of_classes(&[900_000_000]).max_wait >= 900_000_000,
+        "a wait that a class allows is accepted"
+    );
 }
 
-/// Another customer's clients may wait for less than what the answer's way is given at most.
+/// Clients of other deployments may wait for less time than the maximum margin for the response.
 #[test]
 fn most_of_a_short_wait_is_left_to_workers() {
-    let limits = classes(&[]);
+    let limits = limits_of_classes(&[]);
     for wait in [1_000, 20_000, 80_000, 300_000, 3_000_000] {
         assert!(limits.response_margin(wait) <= wait / 8, "{wait}");
     }
--- a/heronslip/tests/ring.rs
+++ b/heronslip/tests/ring.rs
@@ -1,8 +1,8 @@
-//! The ring of bytes.
+//! The ring buffer.
 use heronslip::ring::RingBuffer;
 
 #[test]
-fn bytes_come_out_in_order_across_the_edge() {
+fn bytes_stay_in_order_when_they_wrap_around() {
     let (mut ring, mut out, mut next) = (RingBuffer::new(7), Vec::new(), 0u8);
     for step in 0..40 {
         let data: Vec<u8> = (next..next + 5).collect();
@@ -17,9 +17,10 @@
     assert_eq!((ring.front(), ring.free()), (&[9u8][..], 6));
 }
 
-/// Hundreds of connections each have two rings: one that holds little takes little, whatever it may hold.
+/// Each of hundreds of connections has two buffers: one with little content must allocate little, whatever
+/// its capacity.
 #[test]
-fn memory_follows_what_is_held() {
+fn allocation_follows_the_content() {
     let (mut ring, mut out) = (RingBuffer::new(64 * 1024), Vec::new());
     assert_eq!((ring.allocated(), ring.free()), (0, 64 * 1024));
     for _ in 0..1_000 {
--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, in the ways that Linux documents.
+//! Transient failures of system calls, as documented for Linux, injected by the shim.
 mod common;
 
 use common::stand_ins::{counting_worker, obliging_worker};
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The shim, built into a folder of the tests.
-fn shim() -> PathBuf {
+/// Builds the shim, and returns the path of its library.
+fn build_shim() -> PathBuf {
     let target = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("shim");
     let build = Command::new(env!("CARGO"))
         .args(["build", "--quiet", "--locked", "-p", "heronslip-shim", "--target-dir"])
@@ -21,43 +21,45 @@
     target.join("debug/libheronslip_shim.so")
 }
 
-/// Thousandths of the calls of some kinds.
-fn rates(of: &[(Call, u32)]) -> Rates {
+/// Failure rates in thousandths: these for the given system calls, 0 for all others.
+fn rates(given: &[(Call, u32)]) -> Rates {
     let mut rates = [0; CALLS.len()];
-    of.iter().for_each(|(call, rate)| rates[*call as usize] = *rate);
+    given.iter().for_each(|(call, rate)| rates[*call as usize] = *rate);
     rates
 }
 
-/// The environment that loads the shim, and the file that controls it.
-fn failing(rates: Rates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
+/// The environment that loads the shim with these failure rates, and the file that controls it.
+fn shim_environment(rates: Rates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
     static FILES: AtomicU64 = AtomicU64::new(0);
     let name = format!("control-{}-{}", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let control = ControlFile::create(&path, 7).expect("a control file");
     control.set_rates(&rates).expect("written");
-    (vec![("LD_PRELOAD", shim()), (CONTROL_VARIABLE, path)], control)
+    (vec![("LD_PRELOAD", build_shim()), (CONTROL_VARIABLE, path)], control)
 }
 
-/// An interrupted read is no end: an answer of which a part has come is read on, and its call is not sent again.
+/// Reads are interrupted while a reply arrives: the rest of it must be read, and its call must not be sent
+/// again.
 #[test]
-fn an_interrupted_read_loses_no_answer() {
+fn an_interrupted_read_loses_no_reply() {
     let (worker, calls) = counting_worker();
-    let (environment, _) = failing(rates(&[(Call::Read, 800)]));
+    let (environment, _) = shim_environment(rates(&[(Call::Read, 800)]));
     let stage = Stage::with(Plan { workers: vec![worker], environment, ..Plan::default() });
     let body = "x".repeat(4_000);
     for id in 1..=30 {
         let mut client = connect(stage.front);
         client.write_all(&call(1, &format!("{id:016x}"), "5000", &body)).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+        let (head, _, _) = fastcgi_answer(&mut client).expect("a response");
         assert!(head.starts_with("Status: 200"), "{head}");
     }
     assert_eq!(calls.load(Ordering::Acquire), 30);
 }
 
-/// Connections that wait at a planned end are taken in though accepting fails for a while.
+/// At a graceful shutdown accepting fails for a while: the connections that wait must still be accepted and
+/// served.
 #[test]
-fn a_planned_end_takes_connections_in_though_accepting_fails() {
-    let (environment, control) = failing(rates(&[]));
+fn a_graceful_shutdown_accepts_waiting_connections_after_accept_errors() {
+    let (environment, control) = shim_environment(rates(&[]));
     let workers = vec![obliging_worker()];
     let mut stage = Stage::with(Plan { workers, environment, ..Plan::default() });
     control.set_rates(&rates(&[(Call::Accept, 1_000)])).expect("written");
@@ -67,47 +69,48 @@
     }
     stage.signal("-TERM");
     stage.logged("stop: closing the listeners");
-    std::thread::sleep(Duration::from_millis(50)); // several tries to accept
+    std::thread::sleep(Duration::from_millis(50)); // time for several failed accepts
     control.set_rates(&rates(&[])).expect("written");
     for (id, client) in &mut clients {
-        let answer = fastcgi_answer(client).map(|(head, _, _)| head);
-        assert!(answer.as_ref().is_ok_and(|head| head.starts_with("Status: ")), "client {id}: {answer:?}");
+        let response = fastcgi_answer(client).map(|(head, _, _)| head);
+        let answered = response.as_ref().is_ok_and(|head| head.starts_with("Status: "));
+        assert!(answered, "client {id}: {response:?}");
     }
     assert!(stage.ended());
 }
 
-/// No socket is to be had when the program starts: it goes on trying, and listens once there is one.
+/// Creating a socket fails when the program starts: it must retry, and listen once that succeeds.
 #[test]
-fn a_start_waits_for_a_socket() {
-    let (environment, control) = failing(rates(&[(Call::Socket, 1_000)]));
-    let until = Instant::now() + PATIENCE;
-    let frees = std::thread::spawn(move || {
-        let tries = || control.injected().expect("read")[Call::Socket as usize];
-        while tries() < 3 && Instant::now() < until {
+fn a_start_retries_to_create_a_socket() {
+    let (environment, control) = shim_environment(rates(&[(Call::Socket, 1_000)]));
+    let deadline = Instant::now() + PATIENCE;
+    let stop_failures = std::thread::spawn(move || {
+        let failures = || control.injected().expect("read")[Call::Socket as usize];
+        while failures() < 3 && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
         control.set_rates(&rates(&[])).expect("written");
-        tries()
+        failures()
     });
     let mut stage = Stage::with(Plan { workers: vec![obliging_worker()], environment, ..Plan::default() });
-    assert!(frees.join().expect("sound") >= 3);
+    assert!(stop_failures.join().expect("sound") >= 3);
     assert!(stage.stop());
 }
 
-/// Accepts, sockets, connects, reads, writes and waits fail often, each for a moment: every call gets its answer.
+/// Many system calls of all kinds fail transiently: every request must get a response.
 #[test]
-fn calls_are_answered_while_system_calls_fail() {
+fn requests_are_answered_while_system_calls_fail() {
     use Call::{Accept, Connect, Read, Socket, Wait, Write};
-    let often = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
-    let (environment, _) = failing(rates(&often));
+    let failing = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
+    let (environment, _) = shim_environment(rates(&failing));
     let workers = vec![obliging_worker(), obliging_worker(), obliging_worker()];
     let stage = Stage::with(Plan { workers, environment, ..Plan::default() });
-    let (mut served, all) = (0, 60);
-    for id in 1..=all {
+    let (mut served, requests) = (0, 60);
+    for id in 1..=requests {
         let mut client = connect(stage.front);
         client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("an answer");
+        let (head, _, _) = fastcgi_answer(&mut client).expect("a response");
         served += usize::from(head.starts_with("Status: 200"));
     }
-    assert!(served > all / 2, "{served} of {all} served");
+    assert!(served > requests / 2, "{served} of {requests} served");
 }
