--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -1,5 +1,4 @@
-//! The start configuration: environment variables, the file NODE_CONFIG names, and the file of the KServe v2
-//! server.
+//! The start configuration: environment variables, the NODE_CONFIG file, and the KServe v2 server's file.
 use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
--- a/heronslip/src/core/clock.rs
+++ b/heronslip/src/core/clock.rs
@@ -1,5 +1,4 @@
-//! The controller's clock. It is monotonic and independent of the wall clock, which may be stepped at any
-//! time.
+//! The controller's clock. It is monotonic and independent of the wall clock, which may be stepped.
 use heronslip_policy::Micros;
 use std::time::{Duration, Instant};
 
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -35,7 +35,7 @@
 const IDLE_EVICTION_DIVISOR: usize = 32;
 /// Changed workers that are logged one by one for each list update; only the number of the others is logged.
 const MAX_LOGGED_WORKERS: usize = 16;
-/// Timers that fire later than this are logged.
+/// Timers that fire later than this are logged: it can exceed the time reserved for sending a response.
 const LATE_TIMER_LOG_THRESHOLD: Micros = 20_000;
 
 /// State of the core that other threads may read directly.
@@ -240,8 +240,7 @@
             log_limited!("request {:016x}: failed: {error}", request.wire_id);
             return client.respond(tag, Response::Failed);
         }
-        // A request's timers stay for its whole wait. This bounds their memory and the time of a graceful
-        // shutdown.
+        // A request's timers stay for its whole wait. This bounds their memory and the time of a shutdown.
         let max_wait = class_settings.map(|c| c.give_up).filter(|&span| span > 0);
         request.wait = request.wait.min(max_wait.unwrap_or(request.wait));
         self.last_id += 1;
@@ -470,8 +469,7 @@
                 let command = self.last_id;
                 let sent = LoadCommand { worker: worker.clone(), function, sent_at: now };
                 self.load_commands.insert(command, sent);
-                // A draining worker must get no command to load copies, whatever the controller assumes of
-                // its state.
+                // A draining worker must not get a load command, whatever the controller assumes.
                 let may_send = |w: &&mut Worker| w.listing.state == WorkerState::Ready || count == 0;
                 let has_connection = self.reserve_connection(&worker, true);
                 let until = self.lease_end(&worker);
--- a/heronslip/src/core/timers.rs
+++ b/heronslip/src/core/timers.rs
@@ -1,5 +1,5 @@
-//! The core's timers in one heap. Timers cannot be cancelled: one that is no longer needed is ignored when it
-//! fires.
+//! The core's timers in one heap. Timers cannot be cancelled: those no longer needed are ignored when they
+//! fire.
 use crate::messages::AttemptKey;
 use heronslip_policy::Micros;
 use std::cmp::Reverse;
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -65,10 +65,10 @@
             }
         })
         .map_err(|e| format!("cannot start the core thread: {e}"))?;
-    let board = Arc::new(discovery::Board::new(config.discovery_address));
+    let service_address = Arc::new(discovery::Board::new(config.discovery_address));
     let follower = Follower::new(&limits, queue.clone());
     let follower = apply_initial_events(config.initial_events, config.last_initial_event, follower);
-    let (followed, follower_limits, seed) = (board.clone(), limits.clone(), config.seed);
+    let (followed, follower_limits, seed) = (service_address.clone(), limits.clone(), config.seed);
     net::spawn(limits.coroutine_stack, move || {
         discovery::follow(&followed, follower, &follower_limits, seed)
     })
@@ -90,7 +90,7 @@
             listeners.push(listener);
         }
     }
-    shutdown::run_until_shutdown(signals, &listeners, &context, &board)
+    shutdown::run_until_shutdown(signals, &listeners, &context, &service_address)
 }
 
 /// Applies the events from the configuration. If one could not be read, the follower starts at event 0, and
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -13,8 +13,7 @@
 pub struct Limits {
     /// Maximum bytes of a request's body.
     pub max_body: usize,
-    /// Maximum bytes of a message's head: the parameters or headers of a request, or the headers of an HTTP
-    /// response.
+    /// Maximum bytes of the parameters or headers of a request, or of the headers of an HTTP response.
     pub max_head: usize,
     /// Maximum bytes of a worker's reply.
     pub max_reply: usize,
@@ -50,8 +49,7 @@
     pub max_copy_lanes: f64,
     /// Stack of a coroutine, in bytes.
     pub coroutine_stack: usize,
-    /// Maximum part of a client's wait that is reserved for sending the response. The controller never sees
-    /// it.
+    /// Maximum part of a client's wait that is kept for sending the response and hidden from the controller.
     pub max_response_margin: Micros,
     /// Wait of a KServe v2 client that states none.
     pub default_wait: Micros,
@@ -79,8 +77,7 @@
     pub probe_timeout: Micros,
     /// Timeout of a load command or copy query.
     pub command_timeout: Micros,
-    /// The connection to the discovery service, which sends a comment each second, is renewed after this
-    /// silence.
+    /// The discovery connection is renewed after this silence; the service sends a comment each second.
     pub discovery_silence_timeout: Duration,
     /// How often a wait for the discovery service checks whether its address has changed.
     pub discovery_check_interval: Duration,
@@ -187,8 +184,8 @@
 ///
 /// Workers answer one within a few ms under load too, but each costs as much as a probe. Where that is more
 /// than a hundredth of a call's worth, the check is sent only when the call on the connection is far beyond
-/// its aim: with many front ends a connection carries one call at a time and is silent whenever that call
-/// takes long.
+/// its latency target: with many front ends a connection carries one call at a time and is silent whenever
+/// that call takes long.
 fn liveness_check_after(settings: &Settings) -> Duration {
     let default = Duration::from_millis(200);
     let late = settings.classes.iter().map(|c| 2 * c.aim).max().map_or(default, Duration::from_micros);
--- a/heronslip/src/main.rs
+++ b/heronslip/src/main.rs
@@ -4,8 +4,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // Signals are registered first: one that arrives while the configuration is read must not end the
-    // process.
+    // First of all: a signal that arrives while the configuration is read must not end the process.
     let run = |signals| heronslip::run(heronslip::config::Config::from_environment()?, signals);
     match heronslip::shutdown::register_signals().and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/heronslip/src/messages.rs
+++ b/heronslip/src/messages.rs
@@ -84,7 +84,7 @@
 pub enum Response {
     /// The body that a worker returned.
     Served(Payload),
-    /// Refused before any worker ran it: the client may safely retry.
+    /// Refused: the client may safely retry.
     Refused {
         /// How long the client should wait before it retries.
         retry_after: Micros,
--- a/heronslip/src/ring.rs
+++ b/heronslip/src/ring.rs
@@ -1,8 +1,7 @@
 //! A bounded ring buffer of bytes. Each connection has one for each direction.
 use std::io::{self, Read};
 
-/// First allocation of a buffer, in bytes. Few of hundreds of connections ever carry more than a short frame
-/// at a time.
+/// First allocation of a buffer, in bytes. Few connections ever carry more than a short frame at a time.
 const INITIAL_ALLOCATION: usize = 1024;
 /// A buffer that becomes empty releases its memory if it has allocated more bytes than this.
 const MAX_IDLE_ALLOCATION: usize = 8 * 1024;
@@ -90,8 +89,7 @@
         let end = if tail < self.head { self.head } else { self.bytes.len() };
         loop {
             match source.read(&mut self.bytes[tail..end]) {
-                // An interruption is neither an end nor a timeout: a caller would give up on a partly read
-                // message.
+                // An interruption is neither an end nor a timeout: callers would drop a partly read message.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Ok(n) => {
                     self.len += n;
--- a/heronslip/src/server/fastcgi.rs
+++ b/heronslip/src/server/fastcgi.rs
@@ -1,5 +1,4 @@
-//! The server for the platform's clients: FastCGI 1.0, Responder role, with multiplexed requests on a
-//! connection.
+//! The server for the platform's clients: FastCGI 1.0, Responder role, with multiplexed requests.
 use super::{is_valid_idempotency_key, parse_id, RequestParameters, ServerContext};
 use crate::limits::{Limits, Reservation};
 use crate::messages::{Client, IncomingGuard, Message, Payload, Request, Response};
@@ -260,8 +259,7 @@
                     return Err("timed out reading a record".to_owned());
                 }
                 self.reject_overdue(&limits)?;
-                // Checked here and not after a response, so that requests that have been read are answered
-                // first.
+                // Checked here and not after a response, so that requests read by now are answered first.
                 let activity = &self.connection.activity;
                 let stopping =
                     self.context.shared.refuses_requests.load(Ordering::Acquire) && activity.is_idle();
@@ -378,8 +376,7 @@
         let open = self.connection.open.lock().map_err(|_| "poisoned")?;
         let (open_requests, in_use) = (open.len() + self.partial.len(), open.contains_key(&id));
         drop(open);
-        // A request rejected while it was read has ended for its client: the id is free, and the rest never
-        // arrives.
+        // A request rejected while it was read has ended for its client, which may use the id again.
         if in_use || self.partial.get(&id).is_some_and(|p| !p.rejected) {
             return Err(format!("a second request with the open FastCGI id {id}"));
         }
--- a/heronslip/src/server/kserve.rs
+++ b/heronslip/src/server/kserve.rs
@@ -26,7 +26,7 @@
     match result {
         Response::Served(Payload::Json(body)) => response("200 OK", "", &body, close),
         Response::Served(Payload::Bytes(body)) => {
-            // From a worker of the platform's protocol: a JSON object is passed on unchanged, other bytes as
+            // From a worker of the platform's protocol: JSON objects are passed on unchanged, other bytes as
             // a tensor.
             let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
             let body = if json.as_ref().and_then(object).is_some() { body } else { wrap_answer(&body) };
@@ -161,8 +161,7 @@
                 Err(e) if is_timeout(&e) => {}
                 Err(e) => return Err(e.to_string()),
             }
-            // As in the FastCGI server: closes connections whose requests are never completed, or that send
-            // none.
+            // As in the FastCGI server: closes connections that never complete a request, or send none.
             if partial_request
                 .as_ref()
                 .is_some_and(|(start, _)| start.elapsed() > limits.request_read_timeout)
--- a/heronslip/src/server/mod.rs
+++ b/heronslip/src/server/mod.rs
@@ -1,5 +1,4 @@
-//! Servers for the client protocols. Each parses its protocol, passes requests to the core and writes the
-//! responses.
+//! Servers for the client protocols. Each parses requests, passes them to the core and writes the responses.
 pub mod fastcgi;
 pub mod kserve;
 
--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -18,17 +18,17 @@
 
 /// Handles signals until SIGTERM or SIGINT, then shuts down gracefully. Returns when the process may exit.
 pub fn run_until_shutdown(
-    mut signals: Signals, listeners: &[Acceptor], context: &ServerContext, board: &Arc<Board>,
+    mut signals: Signals, listeners: &[Acceptor], context: &ServerContext, service_address: &Arc<Board>,
 ) -> Result<(), String> {
     let (stop, stopped) = channel();
-    let board = board.clone();
+    let service_address = service_address.clone();
     // Signals have a thread of their own: open requests may take as long as the longest deadline after
     // SIGTERM, and the discovery service may move meanwhile.
     let handle_signals = move || loop {
         let mut reloaded = true;
         for signal in signals.wait() {
             if signal == SIGHUP {
-                reloaded = reload(&board);
+                reloaded = reload(&service_address);
             } else {
                 let _ = stop.send(()); // fails after the first signal to stop
             }
@@ -38,7 +38,7 @@
             if signals.pending().any(|signal| signal != SIGHUP) {
                 let _ = stop.send(());
             }
-            reloaded = reload(&board);
+            reloaded = reload(&service_address);
         }
     };
     std::thread::Builder::new()
@@ -56,8 +56,7 @@
     close_listeners(listeners, context);
     let start = Instant::now();
     let mut idle_checks = 0;
-    // Two idle checks in a row, so that a response on its way from the core to a writer is counted by one of
-    // them.
+    // Two idle checks in a row: one of them counts a response on its way from the core to a writer.
     while idle_checks < 2 && start.elapsed() < limits.shutdown_timeout {
         let open = context.shared.open_requests.load(Ordering::Acquire)
             + context.unsent_bytes.load(Ordering::Acquire);
@@ -73,11 +72,11 @@
 
 /// Reads the discovery service's address again, and returns whether that succeeded. If the file is missing or
 /// only partly written, the old address stays in use and the caller retries.
-fn reload(board: &Board) -> bool {
+fn reload(service_address: &Board) -> bool {
     match Config::read_discovery_address() {
         Ok(address) => {
             log!("reload: the discovery service is at {address}");
-            board.moved(address);
+            service_address.moved(address);
             true
         }
         Err(error) => {
@@ -100,8 +99,7 @@
     listeners.iter().for_each(Acceptor::close);
 }
 
-/// Registers the signal handlers. Called before anything else, so that no signal is missed or ends the
-/// process.
+/// Registers the signal handlers. Called first, so that no signal is missed or ends the process.
 pub fn register_signals() -> Result<Signals, String> {
     Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|e| format!("cannot register signal handlers: {e}"))
 }
