--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -132,7 +132,7 @@
     /// and the files they name.
     pub fn from_environment() -> ConfigResult<Config> {
         let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-        let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG is not set")?;
+        let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG does not name a file")?;
         let mut initial_events = InitialEvents::new();
         let fields = read_configuration(&path, |place, byte| initial_events.byte(place, byte))?;
         let mut config = Config::from_fields(&fields, variable("NODE_LISTEN"), variable("NODE_NAME"))?;
