--- a/heronslip/tests/ending.rs
+++ b/heronslip/tests/ending.rs
@@ -18,12 +18,12 @@
 
 /// Blocks the scheduler's only thread at the gate on its first call, then writes one byte.
 fn block_then_write(mut stream: Socket, _: &ServerContext, _permit: ConnectionPermit) {
-    if let Some((arrived, released)) = GATE.lock().expect("sound").take() {
-        arrived.send(()).expect("awaited");
+    if let Some((arrived, released)) = GATE.lock().expect("not poisoned").take() {
+        arrived.send(()).expect("the receiver is alive");
         released.recv().expect("released");
     }
     stream.write_within(b"1", PATIENCE).expect("written");
-    let _ = stream.read(&mut [0]); // until the client leaves
+    let _ = stream.read(&mut [0]); // until the client closes the connection
 }
 
 /// Connections wait to be accepted when the listeners are about to close: all of them must be accepted first.
@@ -34,7 +34,7 @@
     let acceptor = Acceptor::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = acceptor.listener.local_addr().expect("bound");
     let ((release, released), (arrive, arrived)) = (channel(), channel());
-    *GATE.lock().expect("sound") = Some((arrive, released));
+    *GATE.lock().expect("not poisoned") = Some((arrive, released));
     let (accepting, server_context) = (acceptor.clone(), context.clone());
     spawn(64 * 1024, move || accept_connections(&accepting, &server_context, "test", block_then_write))
         .expect("a coroutine");
@@ -52,11 +52,11 @@
         std::thread::yield_now();
     }
     assert!(context.closing.load(Ordering::Acquire), "closing has begun");
-    release.send(()).expect("awaited");
+    release.send(()).expect("the receiver is alive");
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.read(&mut [0]).ok(), Some(1), "client {n}");
     }
-    closing.join().expect("closed");
+    closing.join().expect("no panic");
     assert!(std::net::TcpStream::connect(address).is_err(), "the listener is still open");
 }
 
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -41,7 +41,8 @@
     let key = AttemptKey { request: 1, attempt: 0 };
     transport.send(key, &Arc::new(request), 60_000_000, None);
     transport.cancel(key);
-    let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
+    let accepted: Vec<TcpStream> =
+        (0..=fillers.len()).map(|_| listener.accept().expect("a connection").0).collect();
     // The unload command is still written before the connection closes.
     transport.unload(7);
     drop((transport, fillers));
--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -93,7 +93,7 @@
         failures()
     });
     let mut stage = Stage::with(Plan { workers: vec![obliging_worker()], environment, ..Plan::default() });
-    assert!(stop_failures.join().expect("sound") >= 3);
+    assert!(stop_failures.join().expect("no panic") >= 3);
     assert!(stage.stop());
 }
 
