--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -2,7 +2,7 @@
 use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
-use heronslip_policy::json::{as_text, number, parse, part, text, whole};
+use heronslip_policy::json::{as_str, number, object, parse, string, unsigned};
 use heronslip_policy::Settings;
 use miniserde::json::{Object, Value};
 use std::io::Read as _;
@@ -124,7 +124,7 @@
 
 fn address(fields: &Object, key: &str) -> ConfigResult<Option<SocketAddr>> {
     let parse = |t: &str| t.parse().map_err(|_| format!("'{key}' is not HOST:PORT: {t}"));
-    fields.get(key).and_then(as_text).map(parse).transpose()
+    fields.get(key).and_then(as_str).map(parse).transpose()
 }
 
 impl Config {
@@ -153,20 +153,20 @@
 
     fn from_fields(fields: &Object, listen: Option<String>, name: Option<String>) -> ConfigResult<Config> {
         let empty = Object::new();
-        let part = |key: &str| part(fields, key).unwrap_or(&empty);
-        let settings = Settings::from_json(part("settings"));
-        let limit = |key: &str, default: f64| number(part("limits"), key).unwrap_or(default) as u64;
+        let section = |key: &str| object(fields, key).unwrap_or(&empty);
+        let settings = Settings::from_json(section("settings"));
+        let limit = |key: &str, default: f64| number(section("limits"), key).unwrap_or(default) as u64;
         let listen = match listen {
             Some(l) => Some(l.parse().map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?),
             None => address(fields, "listen")?,
         };
-        let seed = text(fields, "seed").unwrap_or("0");
+        let seed = string(fields, "seed").unwrap_or("0");
         Ok(Config {
-            name: name.or(text(fields, "name").map(str::to_owned)).unwrap_or_default(),
+            name: name.or(string(fields, "name").map(str::to_owned)).unwrap_or_default(),
             listen: listen.ok_or("no address to listen on: neither NODE_LISTEN nor 'listen' is set")?,
             discovery_address: address(fields, "board")?,
             initial_events: Vec::new(),
-            last_initial_event: whole(part("known"), "rev").unwrap_or(0),
+            last_initial_event: unsigned(section("known"), "rev").unwrap_or(0),
             seed: u64::from_str_radix(seed, 16)
                 .map_err(|_| format!("'seed' is not a hexadecimal number: {seed}"))?,
             limits: Limits::new(limit("memory_mb", 192.0), limit("sockets", 1024.0), &settings),
@@ -179,7 +179,7 @@
 impl KserveConfig {
     fn read(path: &str) -> ConfigResult<KserveConfig> {
         let fields = read_object(path)?;
-        let endpoints = match text(&fields, "endpoints") {
+        let endpoints = match string(&fields, "endpoints") {
             Some(relative_path) => {
                 let folder = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
                 Some(read_object(&folder.join(relative_path).to_string_lossy())?)
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -15,7 +15,7 @@
 };
 use crate::worker::{transport, Reports};
 use heronslip_policy::{
-    Action, Controller, Effect, Entry, Event, FunctionId, Micros, Outcome, Settings, WorkerState,
+    Action, Controller, Event, FunctionId, Micros, Outcome, RetrySafety, Settings, WorkerEntry, WorkerState,
 };
 use miniserde::json::{self, Number, Object, Value};
 use start_times::StartTimes;
@@ -87,12 +87,12 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "the worker replied with an error",
-        Outcome::Full => "rejected by the worker",
+        Outcome::Rejected => "rejected by the worker",
         Outcome::Timeout => "timed out",
         Outcome::ConnectFailed => "connection failed",
         Outcome::Reset => "connection lost",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "not sent",
+        Outcome::NotSent => "not sent",
         Outcome::Miss => "the function is not loaded at the worker",
     }
 }
@@ -219,15 +219,15 @@
         if self.shared.refuses_requests.load(Ordering::Acquire) {
             return client.respond(tag, Response::Refused { retry_after: self.settings.max_retry_after / 2 });
         }
-        let class = self.settings.class(&request.class);
-        let tenant = self.settings.tenant(&request.tenant);
+        let class = self.settings.class_index(&request.class);
+        let tenant = self.settings.tenant_index(&request.tenant);
         let class_settings = self.settings.classes.get(class);
         // Workers recognize duplicates by the idempotency key.
-        let keyed = class_settings.is_some_and(|c| c.effect == Effect::Keyed);
+        let is_deduplicated = class_settings.is_some_and(|c| c.retry_safety == RetrySafety::Deduplicated);
         let error = match () {
             () if class_settings.is_none() => Some("unknown class"),
             () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
-            () if keyed && request.idempotency_key.is_none() => {
+            () if is_deduplicated && request.idempotency_key.is_none() => {
                 Some("its class requires an idempotency key, and it has none")
             }
             // Two open requests with one id could not be told apart at a worker.
@@ -241,7 +241,7 @@
             return client.respond(tag, Response::Failed);
         }
         // A request's timers stay for its whole wait. This bounds their memory and the time of a shutdown.
-        let max_wait = class_settings.map(|c| c.give_up).filter(|&span| span > 0);
+        let max_wait = class_settings.map(|c| c.client_timeout).filter(|&span| span > 0);
         request.wait = request.wait.min(max_wait.unwrap_or(request.wait));
         self.last_id += 1;
         let id = self.last_id;
@@ -252,7 +252,7 @@
             class,
             tenant,
             function: request.function,
-            left,
+            timeout: left,
             memory_mb: request.memory_mb,
             lanes: request.lanes,
             load_time: request.load_time,
@@ -355,7 +355,7 @@
             elapsed,
             closed,
             warm,
-            crowd: function_inflight,
+            function_inflight,
             inflight,
         });
     }
@@ -475,7 +475,7 @@
                 let until = self.lease_end(&worker);
                 match self.workers.get_for_send(&worker).filter(may_send) {
                     Some(worker) if has_connection => worker.transport.order(command, function, count, until),
-                    Some(_) => self.reports.ordered(command, Outcome::Moot, 0),
+                    Some(_) => self.reports.ordered(command, Outcome::NotSent, 0),
                     None => self.reports.ordered(command, Outcome::ConnectFailed, 0),
                 }
                 self.timers.schedule(now + self.limits.command_timeout, Timer::LoadTimeout(command));
@@ -487,20 +487,20 @@
                 let has_connection = self.reserve_connection(&worker, true);
                 match self.workers.get_for_send(&worker) {
                     Some(worker) if has_connection => worker.transport.probe(probe),
-                    Some(_) => self.reports.probed(probe, Outcome::Moot, None),
+                    Some(_) => self.reports.probed(probe, Outcome::NotSent, None),
                     None => self.reports.probed(probe, Outcome::ConnectFailed, None),
                 }
                 self.probes.insert(probe, worker);
                 self.timers.schedule(now + self.limits.probe_timeout, Timer::ProbeTimeout(probe));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 let has_connection = self.reserve_connection(&worker, true);
                 if let Some(worker) = self.workers.get_for_send(&worker).filter(|_| has_connection) {
                     worker.transport.unload(function);
                 }
             }
             Action::Log { text } => log_limited!("controller: {text}"),
-            Action::Watch => {} // discovery pushes updates without a subscription
+            Action::Subscribe => {} // discovery pushes updates without a subscription
         }
     }
 
@@ -519,7 +519,7 @@
     /// controller's decision may wait for a connection or a full socket, and the lease it rests on may expire
     /// meanwhile.
     fn lease_end(&self, worker: &str) -> Option<Instant> {
-        self.controller.lease_of(worker).map(|end| self.clock.instant(end))
+        self.controller.worker_lease_end(worker).map(|end| self.clock.instant(end))
     }
 
     /// Whether an exchange with a worker can use an open connection or open a new one. At the limit on worker
@@ -565,7 +565,7 @@
                 self.timers.schedule(now.saturating_add(budget), Timer::AttemptTimeout(key));
             }
             _ => {
-                self.record_attempt_end(key, AttemptReport::without_reply(Outcome::Moot));
+                self.record_attempt_end(key, AttemptReport::without_reply(Outcome::NotSent));
                 self.remove_if_finished(id);
             }
         }
@@ -595,28 +595,28 @@
             log!("worker list: {not_logged} more workers changed, {} are known", self.workers.len());
         }
         if !entries.is_empty() {
-            self.events.push_back(Event::Members { full: false, entries });
+            self.events.push_back(Event::WorkerList { full: false, entries });
         }
         self.shared.ready.store(true, Ordering::Release);
     }
 
     /// Updates one worker from the list, and returns its entry for the controller.
-    fn update_worker(&mut self, mut listing: ListedWorker, start_times: &StartTimes) -> Entry {
+    fn update_worker(&mut self, mut listing: ListedWorker, start_times: &StartTimes) -> WorkerEntry {
         let known = self.workers.get_mut(&listing.id);
         if let Some(worker) = known.as_ref().filter(|_| listing.state == WorkerState::Gone) {
             // A worker left out of a full list comes without its other fields.
             listing = worker.listing_as_gone();
         }
-        let position = |names: &[String], name: &str| heronslip_policy::json::position(names, Some(name));
+        let position = |names: &[String], name: &str| heronslip_policy::json::index_of(names, Some(name));
         let same_process = known.as_ref().filter(|worker| worker.listing.started_at == listing.started_at);
         let started_at = same_process
             .map_or_else(|| start_times.local_time(listing.started_at), |worker| worker.started_at);
-        let entry = Entry {
+        let entry = WorkerEntry {
             worker: listing.id.clone(),
             state: listing.state,
             started_at,
             zone: position(&self.settings.zones, &listing.zone),
-            kind: position(&self.settings.kinds, &listing.machine_type),
+            machine_type: position(&self.settings.machine_types, &listing.machine_type),
             cell: listing.cell,
         };
         // A worker that moves gets a new transport: exchanges open at its former address end there.
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -111,9 +111,9 @@
         let duration_or = |configured: Micros, default_ms: u64| {
             Duration::from_micros(if configured > 0 { configured } else { default_ms * 1000 })
         };
-        let longest_give_up = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
+        let longest_client_timeout = settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
         let client_connections = sockets * 2 / 5;
-        let idle = duration_or(settings.connection_idle, 15_000);
+        let idle = duration_or(settings.connection_idle_timeout, 15_000);
         let connect_timeout = duration_or(settings.connect_timeout, 250);
         let liveness_check_timeout = Duration::from_millis(200);
         Limits {
@@ -134,7 +134,7 @@
             client_idle_timeout: Duration::from_millis(5_000),
             client_check_interval: Duration::from_millis(250),
             max_discarded: 64 * 1024,
-            max_wait: longest_give_up.max(600_000_000),
+            max_wait: longest_client_timeout.max(600_000_000),
             max_copy_memory_mb: 1e6,
             max_copy_lanes: 1024.0,
             coroutine_stack: 64 * 1024,
@@ -156,7 +156,7 @@
             write_check_interval: Duration::from_millis(50),
             // A probe may first need a new connection; its reply takes as long as that to a liveness check.
             probe_timeout: (connect_timeout + liveness_check_timeout).as_micros() as Micros,
-            command_timeout: if settings.order_timeout > 0 { settings.order_timeout } else { 10_000_000 },
+            command_timeout: if settings.command_timeout > 0 { settings.command_timeout } else { 10_000_000 },
             // What a silent discovery service has to report counts as received after 4 s.
             discovery_silence_timeout: Duration::from_millis(2_500),
             discovery_check_interval: Duration::from_millis(50),
@@ -167,7 +167,7 @@
             shutdown_serve_time: Duration::from_millis(650),
             shutdown_listen_time: Duration::from_millis(700),
             // A request accepted just before the listeners close may take as long as any other.
-            shutdown_timeout: duration_or(longest_give_up, 10_000).max(Duration::from_secs(3)),
+            shutdown_timeout: duration_or(longest_client_timeout, 10_000).max(Duration::from_secs(3)),
         }
     }
 }
@@ -188,8 +188,9 @@
 /// that call takes long.
 fn liveness_check_after(settings: &Settings) -> Duration {
     let default = Duration::from_millis(200);
-    let late = settings.classes.iter().map(|c| 2 * c.aim).max().map_or(default, Duration::from_micros);
-    if settings.probe_price > 0.01 {
+    let late =
+        settings.classes.iter().map(|c| 2 * c.latency_target).max().map_or(default, Duration::from_micros);
+    if settings.probe_cost > 0.01 {
         late.max(default)
     } else {
         default
--- a/heronslip/src/server/kserve.rs
+++ b/heronslip/src/server/kserve.rs
@@ -7,7 +7,7 @@
 use crate::net::{is_timeout, ClientActivity, ConnectionPermit, Outbox, Socket};
 use crate::ring::RingBuffer;
 use crate::worker::kserve::wrap_answer;
-use heronslip_policy::json::{flag, number, object, parse, part, text};
+use heronslip_policy::json::{as_object, boolean, number, object, parse, string};
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
 use std::collections::VecDeque;
@@ -29,7 +29,7 @@
             // From a worker of the platform's protocol: JSON objects are passed on unchanged, other bytes as
             // a tensor.
             let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-            let body = if json.as_ref().and_then(object).is_some() { body } else { wrap_answer(&body) };
+            let body = if json.as_ref().and_then(as_object).is_some() { body } else { wrap_answer(&body) };
             response("200 OK", "", &body, close)
         }
         Response::Refused { retry_after } => {
@@ -363,10 +363,10 @@
 /// Parses the fields of a v2 body. The body itself is passed on unchanged.
 fn parse_request(name: &str, body: Vec<u8>, limits: &Limits) -> Result<Request, &'static str> {
     let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-    let fields = json.as_ref().and_then(object).ok_or("the body is no JSON object")?;
+    let fields = json.as_ref().and_then(as_object).ok_or("the body is no JSON object")?;
     let empty = Object::new();
-    let stated = part(fields, "parameters").unwrap_or(&empty);
-    let key = text(stated, "token");
+    let stated = object(fields, "parameters").unwrap_or(&empty);
+    let key = string(stated, "token");
     if key.is_some_and(|k| !is_valid_idempotency_key(k)) {
         return Err("the key cannot travel");
     }
@@ -382,14 +382,14 @@
     };
     parameters.validate(limits)?;
     Ok(Request {
-        wire_id: wire_id(text(fields, "id")),
-        class: text(stated, "class").ok_or("no 'class' among the parameters")?.to_owned(),
-        tenant: text(stated, "tenant").unwrap_or_default().to_owned(),
+        wire_id: wire_id(string(fields, "id")),
+        class: string(stated, "class").ok_or("no 'class' among the parameters")?.to_owned(),
+        tenant: string(stated, "tenant").unwrap_or_default().to_owned(),
         function: parse_id(name).ok_or("unknown model")?,
         wait: (parameters.wait_ms * 1000.0) as u64,
         received_at: Instant::now(),
         idempotency_key: key.map(str::to_owned),
-        is_retry: flag(stated, "retry"),
+        is_retry: boolean(stated, "retry"),
         memory_mb: parameters.memory_mb,
         lanes: parameters.lanes as u32,
         load_time: (parameters.load_ms * 1000.0) as u64,
--- a/heronslip/tests/limits.rs
+++ b/heronslip/tests/limits.rs
@@ -25,18 +25,19 @@
 /// one.
 #[test]
 fn expensive_liveness_checks_wait_until_calls_are_late() {
-    let class = |aim| heronslip_policy::ClassSettings { aim, ..Default::default() };
-    let check_after = |probe_price| {
+    let class = |latency_target| heronslip_policy::ClassSettings { latency_target, ..Default::default() };
+    let check_after = |probe_cost| {
         let classes = vec![class(550_000), class(410_000)];
-        Limits::new(192, 1024, &Settings { probe_price, classes, ..Settings::default() }).liveness_check_after
+        Limits::new(192, 1024, &Settings { probe_cost, classes, ..Settings::default() }).liveness_check_after
     };
     assert_eq!(check_after(0.01), Duration::from_millis(200));
     assert!(check_after(0.08) > Duration::from_millis(550), "{:?}", check_after(0.08));
 }
 
-fn limits_of_classes(give_up: &[u64]) -> Limits {
-    let class = |&give_up: &u64| heronslip_policy::ClassSettings { give_up, ..Default::default() };
-    let classes = give_up.iter().map(class).collect();
+fn limits_of_classes(client_timeouts: &[u64]) -> Limits {
+    let class =
+        |&client_timeout: &u64| heronslip_policy::ClassSettings { client_timeout, ..Default::default() };
+    let classes = client_timeouts.iter().map(class).collect();
     Limits::new(192, 1024, &Settings { classes, ..Settings::default() })
 }
 
