--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -4,11 +4,11 @@
 use super::list_event::{EventBounds, EventError, EventReader};
 use super::table::{StagedEvent, WorkerTable};
 use super::ListEvent;
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{ChunkedDecoder, ChunkedItem, Head};
 use crate::limits::Limits;
-use crate::messages::{Member, Message, Speech};
-use crate::net::timed_out;
-use crate::ring::Ring;
+use crate::messages::{ListedWorker, Message, WorkerProtocol};
+use crate::net::is_timeout;
+use crate::ring::RingBuffer;
 use heronslip_policy::DiscoveryState;
 use may::net::TcpStream;
 use may::sync::Mutex;
@@ -27,7 +27,7 @@
         ServiceAddress(Mutex::new(address))
     }
 
-    /// Changes the address. [`follow`] reconnects within `Limits::board_check`.
+    /// Changes the address. [`follow`] reconnects within `Limits::discovery_check_interval`.
     pub fn set(&self, new_address: SocketAddr) {
         if let Ok(mut address) = self.0.lock() {
             *address = Some(new_address);
@@ -77,8 +77,8 @@
     table: WorkerTable,
     bounds: EventBounds,
     core: Sender<Message>,
-    /// The combined changes of the configured events, until all of these have been applied.
-    configured: Option<BTreeMap<String, Member>>,
+    /// The combined changes of the initial events, until all of these have been applied.
+    initial: Option<BTreeMap<String, ListedWorker>>,
     /// Number of the last event that was applied or skipped.
     last_event: u64,
     /// The event after it, if that was invalid and has been requested again.
@@ -99,12 +99,15 @@
 impl Subscriber {
     /// A subscriber that knows no workers yet.
     pub fn new(limits: &Limits, core: Sender<Message>) -> Self {
-        let bounds = EventBounds { entry_bytes: limits.board_entry, entries: limits.board_entries };
+        let bounds = EventBounds {
+            entry_bytes: limits.discovery_max_entry_bytes,
+            entries: limits.discovery_max_entries,
+        };
         Subscriber {
             table: WorkerTable::default(),
             bounds,
             core,
-            configured: None,
+            initial: None,
             last_event: 0,
             requested_again: None,
             sent_state: None,
@@ -112,23 +115,23 @@
     }
 
     /// Applies an event from the configuration, and returns whether all its entries could be used. The core receives
-    /// the changes with [`Subscriber::finish_configured`].
-    pub fn apply_configured(&mut self, event: ListEvent) -> bool {
+    /// the changes with [`Subscriber::finish_initial`].
+    pub fn apply_initial(&mut self, event: ListEvent) -> bool {
         let mut staged = self.table.begin_event();
         event.entries.into_iter().for_each(|entry| self.table.stage(entry, &mut staged));
         let all_valid = staged.invalid.is_empty();
         let changes = self.apply(event.full, staged);
-        self.configured
+        self.initial
             .get_or_insert_default()
-            .extend(changes.into_iter().map(|member| (member.id.clone(), member)));
+            .extend(changes.into_iter().map(|worker| (worker.id.clone(), worker)));
         all_valid
     }
 
-    /// Ends the configured events, which go up to event `last_event`, and sends their combined changes to the core.
-    pub fn finish_configured(&mut self, last_event: u64) {
+    /// Ends the initial events, which go up to event `last_event`, and sends their combined changes to the core.
+    pub fn finish_initial(&mut self, last_event: u64) {
         self.last_event = last_event;
-        if let Some(configured) = self.configured.take() {
-            self.send_members(configured.into_values().collect());
+        if let Some(initial) = self.initial.take() {
+            self.send_workers(initial.into_values().collect());
         }
     }
 
@@ -197,7 +200,9 @@
         match result {
             Ok(full) => self.commit(full, staged),
             Err(error) => {
-                note!("discovery: event {number} ({bytes} bytes) cannot be used and is skipped: {error}");
+                log_limited!(
+                    "discovery: event {number} ({bytes} bytes) cannot be used and is skipped: {error}"
+                );
             }
         }
         (self.last_event, self.requested_again) = (number, None);
@@ -205,21 +210,21 @@
     }
 
     fn commit(&mut self, full: bool, staged: StagedEvent) {
-        let members = self.apply(full, staged);
-        self.send_members(members);
+        let workers = self.apply(full, staged);
+        self.send_workers(workers);
     }
 
     /// Applies an event to the table, and returns the workers that it changes.
-    fn apply(&mut self, full: bool, mut staged: StagedEvent) -> Vec<Member> {
+    fn apply(&mut self, full: bool, mut staged: StagedEvent) -> Vec<ListedWorker> {
         for invalid in std::mem::take(&mut staged.invalid) {
-            note!("discovery: skipped an instance of the worker list: {invalid}");
+            log_limited!("discovery: skipped an instance of the worker list: {invalid}");
         }
         self.table.commit(full, staged)
     }
 
     /// Sends changes to the core. An event without changes is sent too: the first one makes the core ready.
-    fn send_members(&self, members: Vec<Member>) {
-        let _ = self.core.send(Message::Members { source: Speech::Frames, full: false, members });
+    fn send_workers(&self, workers: Vec<ListedWorker>) {
+        let _ = self.core.send(Message::WorkerList { source: WorkerProtocol::Frames, full: false, workers });
     }
 }
 
@@ -237,9 +242,9 @@
             return;
         }
         if self.repetitions > 0 {
-            note!("{} (repeated {} more times)", self.line, self.repetitions);
+            log_limited!("{} (repeated {} more times)", self.line, self.repetitions);
         }
-        note!("{line}");
+        log_limited!("{line}");
         (self.line, self.repetitions) = (line, 0);
     }
 }
@@ -247,7 +252,7 @@
 /// Follows the worker list forever. Whenever the connection ends or the address changes, it reconnects with a backoff
 /// and resumes after the last event.
 pub fn follow(service: &ServiceAddress, mut subscriber: Subscriber, limits: &Limits, seed: u64) {
-    let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, seed);
+    let mut backoff = Backoff::new(limits.discovery_initial_backoff, limits.discovery_max_backoff, seed);
     let mut connection_ends = RepeatedLine::default();
     loop {
         let (address, last_event) = (service.get(), subscriber.last_event);
@@ -274,9 +279,9 @@
 ) -> Result<(), ConnectionError> {
     // The connect timeout for workers may be too long here: a change of the list counts as known to front ends 4 s
     // after it is published.
-    let connect_timeout = limits.connect.min(limits.board_silence / 2);
+    let connect_timeout = limits.connect_timeout.min(limits.discovery_silence_timeout / 2);
     let mut stream = TcpStream::connect_timeout(&address, connect_timeout)?;
-    stream.set_read_timeout(Some(limits.board_check))?;
+    stream.set_read_timeout(Some(limits.discovery_check_interval))?;
     let request = format!(
         "GET /board/poll HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
         subscriber.last_event
@@ -285,13 +290,13 @@
     let mut response = ResponseReader::new(subscriber, limits);
     let mut last_progress = Instant::now();
     let mut progress_unreported = false;
-    let mut ring = Ring::new(limits.client_ring);
+    let mut ring = RingBuffer::new(limits.client_buffer);
     loop {
-        match ring.fill(&mut stream) {
+        match ring.read_from(&mut stream) {
             Ok(0) => return Err(ConnectionError::Closed),
             Ok(_) => {}
             // Progress followed by a pause between events: everything that the service had to send has been read.
-            Err(e) if timed_out(&e) => {
+            Err(e) if is_timeout(&e) => {
                 if response.event.is_none() && std::mem::take(&mut progress_unreported) {
                     response.subscriber.report_current();
                 }
@@ -314,7 +319,7 @@
         if progress {
             last_progress = Instant::now();
             progress_unreported = true;
-        } else if last_progress.elapsed() >= limits.board_silence {
+        } else if last_progress.elapsed() >= limits.discovery_silence_timeout {
             return Err(ConnectionError::Silent);
         }
     }
@@ -336,13 +341,13 @@
     /// The head has not been read yet.
     Unknown,
     Plain,
-    Chunked(Chunked),
+    Chunked(ChunkedDecoder),
 }
 
 impl<'a> ResponseReader<'a> {
     fn new(subscriber: &'a mut Subscriber, limits: &Limits) -> Self {
         let (head, body, events) = (Vec::new(), Body::Unknown, EventStream::default());
-        ResponseReader { subscriber, max_head: limits.head, head, body, events, event: None }
+        ResponseReader { subscriber, max_head: limits.max_head, head, body, events, event: None }
     }
 
     /// Takes the next byte, and returns whether it completed a line or an entry.
@@ -350,10 +355,10 @@
         let content = match &mut self.body {
             Body::Unknown => return self.push_head(byte).map(|()| false),
             Body::Plain => Some(byte),
-            Body::Chunked(coding) => match coding.byte(byte).map_err(ConnectionError::Http)? {
-                Coded::Byte(byte) => Some(byte),
-                Coded::Nothing => None,
-                Coded::End => return Err(ConnectionError::Closed),
+            Body::Chunked(coding) => match coding.decode(byte).map_err(ConnectionError::Http)? {
+                ChunkedItem::Content(byte) => Some(byte),
+                ChunkedItem::Framing => None,
+                ChunkedItem::End => return Err(ConnectionError::Closed),
             },
         };
         match content.and_then(|byte| self.events.push(byte)) {
@@ -381,11 +386,11 @@
     fn push_head(&mut self, byte: u8) -> Result<(), ConnectionError> {
         self.head.push(byte);
         if self.head.ends_with(b"\r\n\r\n") {
-            let head = Head::answer(&self.head).map_err(ConnectionError::Http)?;
+            let head = Head::parse_response(&self.head).map_err(ConnectionError::Http)?;
             if head.status != 200 {
                 return Err(ConnectionError::Status(head.status));
             }
-            self.body = if head.chunked { Body::Chunked(Chunked::default()) } else { Body::Plain };
+            self.body = if head.chunked { Body::Chunked(ChunkedDecoder::default()) } else { Body::Plain };
             self.head = Vec::new();
         } else if self.head.len() > self.max_head {
             return Err(ConnectionError::Http("the response's head is too long".to_owned()));
--- a/heronslip/src/discovery/instance.rs
+++ b/heronslip/src/discovery/instance.rs
@@ -1,5 +1,5 @@
 //! Parses one entry of the discovery service's worker list.
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::json::{millis, parse, string, unsigned};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
@@ -18,21 +18,21 @@
 ///
 /// # Errors
 /// Returns why the entry cannot be used, and the worker that it names where that can be read.
-pub fn parse_instance(json: &[u8]) -> Result<Member, InvalidInstance> {
+pub fn parse_instance(json: &[u8]) -> Result<ListedWorker, InvalidInstance> {
     let parsed = std::str::from_utf8(json).ok().and_then(|t| parse(t).ok());
     let Some(Value::Object(fields)) = parsed else {
         return Err(InvalidInstance { id: None, reason: "the instance is not a JSON object".to_owned() });
     };
-    member(&fields).map_err(|reason| {
+    parse_worker(&fields).map_err(|reason| {
         let id = string(&fields, "instanceId").map(str::to_owned);
         InvalidInstance { id, reason }
     })
 }
 
-fn member(fields: &Object) -> Result<Member, String> {
+fn parse_worker(fields: &Object) -> Result<ListedWorker, String> {
     let required = |key: &str| string(fields, key).ok_or_else(|| format!("an instance without '{key}'"));
     let (id, address) = (required("instanceId")?.to_owned(), required("hostPort")?);
-    Ok(Member {
+    Ok(ListedWorker {
         address: address.parse().map_err(|_| format!("{id}: invalid address {address}"))?,
         state: match required("lifecycle")? {
             "ready" => WorkerState::Ready,
@@ -42,9 +42,9 @@
         },
         started_at: millis(fields, "startedAtMs"),
         zone: string(fields, "zone").unwrap_or_default().to_owned(),
-        kind: string(fields, "machineType").unwrap_or_default().to_owned(),
+        machine_type: string(fields, "machineType").unwrap_or_default().to_owned(),
         cell: unsigned(fields, "cell").unwrap_or(0),
-        speech: Speech::Frames,
+        protocol: WorkerProtocol::Frames,
         id,
     })
 }
--- a/heronslip/src/discovery/list_event.rs
+++ b/heronslip/src/discovery/list_event.rs
@@ -2,7 +2,7 @@
 //! and the size of one entry, not by the size of the event.
 use super::instance::{parse_instance, InvalidInstance};
 use super::json_array::{ArrayScanner, BytePosition, ScanError};
-use crate::messages::Member;
+use crate::messages::ListedWorker;
 use heronslip_policy::json::{boolean, object, parse};
 use miniserde::json::Value;
 
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// Fails if the event cannot be used, whatever follows.
-    pub fn push(&mut self, byte: u8) -> Result<Option<Result<Member, InvalidInstance>>, EventError> {
+    pub fn push(&mut self, byte: u8) -> Result<Option<Result<ListedWorker, InvalidInstance>>, EventError> {
         self.bytes += 1;
         match self.scanner.push(byte)? {
             BytePosition::Outside => return Ok(None),
--- a/heronslip/src/discovery/mod.rs
+++ b/heronslip/src/discovery/mod.rs
@@ -18,7 +18,7 @@
 pub use table::WorkerTable;
 pub use xds::parse_endpoints;
 
-use crate::messages::Member;
+use crate::messages::ListedWorker;
 use instance::InvalidInstance;
 
 /// A complete event of the worker list.
@@ -27,5 +27,5 @@
     /// Whether the event is a full list, rather than a change to the list.
     pub full: bool,
     /// The entries; each is invalid by itself if it cannot be parsed.
-    pub entries: Vec<Result<Member, InvalidInstance>>,
+    pub entries: Vec<Result<ListedWorker, InvalidInstance>>,
 }
--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -1,6 +1,6 @@
 //! The worker list as the discovery service last sent it, kept so that only changes are passed on to the core.
 use super::instance::InvalidInstance;
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::WorkerState;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,7 +8,7 @@
 
 /// A listed worker.
 #[derive(Debug)]
-struct ListedWorker {
+struct TableEntry {
     /// Hash of everything that the list says of the worker.
     fingerprint: u64,
     address: SocketAddr,
@@ -24,7 +24,7 @@
 /// list as it was.
 #[derive(Debug, Default)]
 pub struct WorkerTable {
-    listed: HashMap<Box<str>, ListedWorker>,
+    listed: HashMap<Box<str>, TableEntry>,
     /// How many workers are listed at each address. The core keeps only one worker per address, so entries of workers
     /// that share one are always passed on.
     workers_at: HashMap<SocketAddr, u32>,
@@ -35,16 +35,16 @@
 /// The changes of an event that is being read.
 #[derive(Debug, Default)]
 pub struct StagedEvent {
-    changed: Vec<Member>,
+    changed: Vec<ListedWorker>,
     /// Entries that cannot be used.
     pub invalid: Vec<InvalidInstance>,
 }
 
-fn fingerprint(member: &Member) -> u64 {
+fn fingerprint(worker: &ListedWorker) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (member.address, member.started_at, member.cell).hash(&mut hasher);
-    (member.zone.as_str(), member.kind.as_str()).hash(&mut hasher);
-    (member.state as u8).hash(&mut hasher);
+    (worker.address, worker.started_at, worker.cell).hash(&mut hasher);
+    (worker.zone.as_str(), worker.machine_type.as_str()).hash(&mut hasher);
+    (worker.state as u8).hash(&mut hasher);
     hasher.finish()
 }
 
@@ -56,9 +56,9 @@
     }
 
     /// Stages an entry, unless it repeats what is known.
-    pub fn stage(&mut self, entry: Result<Member, InvalidInstance>, staged: &mut StagedEvent) {
-        let member = match entry {
-            Ok(member) => member,
+    pub fn stage(&mut self, entry: Result<ListedWorker, InvalidInstance>, staged: &mut StagedEvent) {
+        let worker = match entry {
+            Ok(worker) => worker,
             Err(invalid) => {
                 if let Some(listed) = invalid.id.as_deref().and_then(|id| self.listed.get_mut(id)) {
                     (listed.last_event, listed.changed_by_event) = (self.event, false);
@@ -67,39 +67,39 @@
                 return;
             }
         };
-        if let Some(listed) = self.listed.get_mut(member.id.as_str()) {
+        if let Some(listed) = self.listed.get_mut(worker.id.as_str()) {
             let changed_before = listed.last_event == self.event && listed.changed_by_event;
             let shares_address = self.workers_at.get(&listed.address).is_some_and(|&n| n > 1);
-            let same = listed.fingerprint == fingerprint(&member) && !shares_address;
+            let same = listed.fingerprint == fingerprint(&worker) && !shares_address;
             (listed.last_event, listed.changed_by_event) = (self.event, changed_before || !same);
             if same && !changed_before {
                 return;
             }
         }
-        staged.changed.push(member);
+        staged.changed.push(worker);
     }
 
     /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that it does
     /// not name.
-    pub fn commit(&mut self, full: bool, staged: StagedEvent) -> Vec<Member> {
+    pub fn commit(&mut self, full: bool, staged: StagedEvent) -> Vec<ListedWorker> {
         let mut changes = Vec::new();
         if full {
             let event = self.event;
             let missing = self.listed.iter().filter(|(_, l)| l.last_event != event);
-            changes.extend(missing.map(|(id, l)| gone_member(id, l.address)));
+            changes.extend(missing.map(|(id, l)| removed_worker(id, l.address)));
             changes.sort_by(|a, b| a.id.cmp(&b.id)); // the map has no fixed order
-            for member in &changes {
-                self.remove(&member.id);
+            for worker in &changes {
+                self.remove(&worker.id);
             }
         }
-        for member in staged.changed {
-            let was_listed = self.remove(&member.id);
-            if member.state != WorkerState::Gone {
-                self.insert(&member);
+        for worker in staged.changed {
+            let was_listed = self.remove(&worker.id);
+            if worker.state != WorkerState::Gone {
+                self.insert(&worker);
             } else if !was_listed {
                 continue;
             }
-            changes.push(member);
+            changes.push(worker);
         }
         changes
     }
@@ -114,10 +114,10 @@
         self.listed.is_empty()
     }
 
-    fn insert(&mut self, member: &Member) {
-        let (fingerprint, address) = (fingerprint(member), member.address);
-        let listed = ListedWorker { fingerprint, address, last_event: self.event, changed_by_event: false };
-        self.listed.insert(member.id.as_str().into(), listed);
+    fn insert(&mut self, worker: &ListedWorker) {
+        let (fingerprint, address) = (fingerprint(worker), worker.address);
+        let listed = TableEntry { fingerprint, address, last_event: self.event, changed_by_event: false };
+        self.listed.insert(worker.id.as_str().into(), listed);
         *self.workers_at.entry(address).or_default() += 1;
     }
 
@@ -135,15 +135,15 @@
 }
 
 /// The entry of a worker that a full list no longer names.
-fn gone_member(id: &str, address: SocketAddr) -> Member {
-    Member {
+fn removed_worker(id: &str, address: SocketAddr) -> ListedWorker {
+    ListedWorker {
         id: id.to_owned(),
         address,
         state: WorkerState::Gone,
         started_at: 0,
         zone: String::new(),
-        kind: String::new(),
+        machine_type: String::new(),
         cell: 0,
-        speech: Speech::Frames,
+        protocol: WorkerProtocol::Frames,
     }
 }
--- a/heronslip/src/discovery/xds.rs
+++ b/heronslip/src/discovery/xds.rs
@@ -1,5 +1,5 @@
 //! KServe v2 workers from a file: endpoints in Envoy's xDS JSON form.
-use crate::messages::{Member, Speech};
+use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::json::{array, as_object, millis, object, string, unsigned};
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
@@ -9,10 +9,10 @@
 ///
 /// # Errors
 /// Returns which required field is missing or invalid.
-pub fn parse_endpoints(response: &Object) -> Result<Vec<Member>, String> {
+pub fn parse_endpoints(response: &Object) -> Result<Vec<ListedWorker>, String> {
     let single = [Value::Object(response.clone())];
     let resources = if response.contains_key("resources") { array(response, "resources") } else { &single };
-    let mut members = Vec::new();
+    let mut workers = Vec::new();
     let empty = Object::new();
     for assignment in resources.iter().filter_map(as_object) {
         for locality in array(assignment, "endpoints").iter().filter_map(as_object) {
@@ -27,7 +27,7 @@
                 let address = format!("{host}:{port}");
                 let metadata = object(lb, "metadata").and_then(|m| object(m, "filter_metadata"));
                 let metadata = metadata.and_then(|m| object(m, "heronslip")).unwrap_or(&empty);
-                members.push(Member {
+                workers.push(ListedWorker {
                     id: string(metadata, "id").unwrap_or(&address).to_owned(),
                     address: address.parse().map_err(|_| format!("not an IP address and port: {address}"))?,
                     // As in Envoy, an endpoint of unknown health counts as healthy.
@@ -38,12 +38,12 @@
                     },
                     started_at: millis(metadata, "started_at_ms"),
                     zone: zone.to_owned(),
-                    kind: string(metadata, "kind").unwrap_or_default().to_owned(),
+                    machine_type: string(metadata, "kind").unwrap_or_default().to_owned(),
                     cell: unsigned(metadata, "cell").unwrap_or(0),
-                    speech: Speech::Kserve,
+                    protocol: WorkerProtocol::Kserve,
                 });
             }
         }
     }
-    Ok(members)
+    Ok(workers)
 }
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -2,9 +2,9 @@
 //! worker.
 use super::{ConnectionUsage, ReportSender, Transport};
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Payload, Report, Request};
-use crate::net::{connection_number, spawn, timed_out, Socket};
-use crate::ring::Ring;
+use crate::messages::{AttemptKey, AttemptReport, Payload, Request};
+use crate::net::{is_timeout, next_connection_id, spawn, Socket};
+use crate::ring::RingBuffer;
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use may::net::TcpStream;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -102,9 +102,9 @@
     }
 
     /// The next complete frame, or why the stream is invalid.
-    pub fn next_frame(&mut self, ring: &mut Ring, max_body: usize) -> Result<Option<Frame>, String> {
+    pub fn next_frame(&mut self, ring: &mut RingBuffer, max_body: usize) -> Result<Option<Frame>, String> {
         if self.partial.len() < HEADER_BYTES {
-            ring.take(HEADER_BYTES - self.partial.len(), &mut self.partial);
+            ring.drain_into(HEADER_BYTES - self.partial.len(), &mut self.partial);
         }
         let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.partial[..] else { return Ok(None) };
         let Some(id) = id.first_chunk::<8>() else { return Ok(None) };
@@ -118,7 +118,7 @@
             return Err(format!("body of {body_length} bytes is too long"));
         }
         let frame_length = HEADER_BYTES + fields_length + body_length + CHECKSUM_BYTES;
-        ring.take(frame_length - self.partial.len(), &mut self.partial);
+        ring.drain_into(frame_length - self.partial.len(), &mut self.partial);
         if self.partial.len() < frame_length {
             return Ok(None);
         }
@@ -310,7 +310,7 @@
 
     /// Index of a connection that can take another exchange.
     fn connection_with_room(&self) -> Option<usize> {
-        let streams = self.limits.streams;
+        let streams = self.limits.streams_per_connection;
         self.connections.iter().position(|c| {
             let state = &c.state;
             !state.broken.load(Ordering::Acquire)
@@ -335,12 +335,14 @@
             let state = Arc::new(ConnectionState::default());
             let (address, limits) = (self.address, self.limits.clone());
             let (reports, writer_state) = (self.reports.clone(), state.clone());
-            let started = spawn(self.limits.stack, move || {
+            let started = spawn(self.limits.coroutine_stack, move || {
                 Writer::run(address, queue, writer_state, limits, reports);
             });
             if let Err(e) = started {
                 // The core's timers end what was queued.
-                note!("worker {address}: could not start a connection: {e}; its exchanges will time out");
+                log_limited!(
+                    "worker {address}: could not start a connection: {e}; its exchanges will time out"
+                );
             }
             self.connections.push(Connection {
                 commands,
@@ -381,9 +383,9 @@
 fn call_fields(request: &Request, budget: Micros) -> String {
     let (class, function, budget) = (&request.class, request.function, (budget / 1000).max(1));
     let mut fields = format!("queue={class},path={function:016x},budget={budget}");
-    if let Some(token) = &request.token {
+    if let Some(key) = &request.idempotency_key {
         fields.push_str(",uniq=");
-        fields.push_str(token);
+        fields.push_str(key);
     }
     fields
 }
@@ -479,8 +481,11 @@
                 (Some(sent), _) if last_reply.is_some_and(|reply| reply >= sent) => {
                     connection.check_sent = None;
                 }
-                (Some(sent), _) if sent.elapsed() > limits.link_answer => {
-                    note!("worker {}: closing a connection: no reply to a liveness check", self.address);
+                (Some(sent), _) if sent.elapsed() > limits.liveness_check_timeout => {
+                    log_limited!(
+                        "worker {}: closing a connection: no reply to a liveness check",
+                        self.address
+                    );
                     connection.state.retired.store(true, Ordering::Release);
                     let _ = connection.commands.send(Command::Close);
                 }
@@ -488,8 +493,8 @@
                     let quiet = last_reply.map_or(started, |reply| reply.max(started)).elapsed();
                     // While only old exchanges (loads) are pending, checks become less and less frequent.
                     let waited = if started_since { Duration::ZERO } else { started.elapsed() / 2 };
-                    if quiet > limits.link_quiet.max(waited) {
-                        let (id, key) = (u64::MAX / 2 - connection_number(), ExchangeKey::LivenessCheck);
+                    if quiet > limits.liveness_check_after.max(waited) {
+                        let (id, key) = (u64::MAX / 2 - next_connection_id(), ExchangeKey::LivenessCheck);
                         connection.state.pending.fetch_add(1, Ordering::AcqRel);
                         let first_frame = FirstFrame::Encoded(load_frame(id, function, 0));
                         let condition = StartCondition::Always;
@@ -504,7 +509,7 @@
     }
 
     fn sweep(&mut self) {
-        let max_idle = self.limits.worker_idle;
+        let max_idle = self.limits.worker_idle_timeout;
         // Dropping the sender lets the writer close the connection. Closing idle connections before the worker does
         // keeps an attempt from crossing the worker's close.
         self.connections.retain(|c| {
@@ -517,7 +522,7 @@
 
 /// Frames that wait in the ring buffer for the socket. Positions count bytes from the start of the connection.
 pub struct WriteQueue {
-    ring: Ring,
+    ring: RingBuffer,
     frames: VecDeque<QueuedFrame>,
     /// Position of the next byte that is written.
     written: u64,
@@ -552,7 +557,7 @@
 impl WriteQueue {
     /// An empty queue over a ring buffer of this many bytes.
     pub fn new(ring_bytes: usize) -> Self {
-        WriteQueue { ring: Ring::new(ring_bytes), frames: VecDeque::new(), written: 0, end: 0 }
+        WriteQueue { ring: RingBuffer::new(ring_bytes), frames: VecDeque::new(), written: 0, end: 0 }
     }
 
     /// Bytes that still fit.
@@ -597,7 +602,7 @@
             return RemovedFrames::default();
         }
         let mut bytes = Vec::new();
-        self.ring.take(usize::MAX, &mut bytes);
+        self.ring.drain_into(usize::MAX, &mut bytes);
         let (mut removed, written) = (RemovedFrames::default(), self.written);
         self.end = self.written;
         for mut frame in std::mem::take(&mut self.frames) {
@@ -640,7 +645,7 @@
 /// Reports the end of an exchange that its connection no longer counts.
 fn report_end(reports: &ReportSender, key: ExchangeKey, outcome: Outcome) {
     match key {
-        ExchangeKey::Attempt(key) => reports.attempt_ended(key, Report::bare(outcome)),
+        ExchangeKey::Attempt(key) => reports.attempt_ended(key, AttemptReport::without_reply(outcome)),
         ExchangeKey::Load(command) => reports.load_ended(command, outcome, 0),
         ExchangeKey::Probe(probe) => reports.probe_ended(probe, outcome, None),
         ExchangeKey::LivenessCheck => {}
@@ -667,10 +672,10 @@
         address: SocketAddr, commands: Receiver<Command>, state: Arc<ConnectionState>, limits: Arc<Limits>,
         reports: ReportSender,
     ) {
-        let (waiting, queue) = (VecDeque::new(), WriteQueue::new(limits.worker_ring));
+        let (waiting, queue) = (VecDeque::new(), WriteQueue::new(limits.worker_buffer));
         let mut writer = Writer { state, reports, limits, waiting, queue };
         if let Err(why) = writer.connection(address, &commands) {
-            note!("worker {address}: connection failed: {why}");
+            log_limited!("worker {address}: connection failed: {why}");
         }
         fail_connection(&writer.state, &writer.reports);
         // Commands that are still queued, or are queued until the transport drops its sender at a sweep, were never
@@ -692,14 +697,14 @@
     /// Opens the connection, starts its reader and writes until the transport drops the connection or it fails.
     fn connection(&mut self, address: SocketAddr, commands: &Receiver<Command>) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
-        let stream = TcpStream::connect_timeout(&address, self.limits.connect).map_err(text)?;
+        let stream = TcpStream::connect_timeout(&address, self.limits.connect_timeout).map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
         let stream = Socket::new(stream);
         let reader = stream.clone();
         let (state, reports, limits) = (self.state.clone(), self.reports.clone(), self.limits.clone());
-        spawn(self.limits.stack, move || {
+        spawn(self.limits.coroutine_stack, move || {
             if let Err(why) = read_replies(reader, &state, &reports, &limits) {
-                note!("worker {address}: closed the connection while reading replies: {why}");
+                log_limited!("worker {address}: closed the connection while reading replies: {why}");
             }
             fail_connection(&state, &reports);
         })
@@ -731,15 +736,15 @@
             if self.queue.is_empty() {
                 return Ok(());
             }
-            match stream.write_within(self.queue.front(), self.limits.write_check) {
+            match stream.write_within(self.queue.front(), self.limits.write_check_interval) {
                 Ok(0) => return Err("the worker closed the connection".to_owned()),
                 Ok(n) => {
                     stalled = Duration::ZERO;
                     self.state.bytes_written.store(self.queue.consume(n), Ordering::Release);
                 }
-                Err(e) if timed_out(&e) => {
-                    stalled += self.limits.write_check;
-                    if stalled >= self.limits.write_stall {
+                Err(e) if is_timeout(&e) => {
+                    stalled += self.limits.write_check_interval;
+                    if stalled >= self.limits.write_stall_timeout {
                         return Err("a write stalled for too long".to_owned());
                     }
                 }
@@ -891,20 +896,20 @@
 fn read_replies(
     mut stream: Socket, state: &ConnectionState, reports: &ReportSender, limits: &Limits,
 ) -> Result<(), String> {
-    let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
-    stream.set_read_timeout(limits.frame_stall).map_err(|e| e.to_string())?;
+    let (mut ring, mut decoder) = (RingBuffer::new(limits.worker_buffer), Decoder::default());
+    stream.set_read_timeout(limits.reply_stall_timeout).map_err(|e| e.to_string())?;
     let end = loop {
-        match ring.fill(&mut stream) {
+        match ring.read_from(&mut stream) {
             Ok(0) => break Ok(()),
             Ok(_) => {}
             // Nothing can follow a frame that stops before its end.
-            Err(e) if timed_out(&e) && decoder.has_partial_frame() => {
+            Err(e) if is_timeout(&e) && decoder.has_partial_frame() => {
                 break Err("a reply stopped before its end".to_owned());
             }
-            Err(e) if timed_out(&e) => continue,
+            Err(e) if is_timeout(&e) => continue,
             Err(e) => break Err(e.to_string()),
         }
-        match handle_replies(&mut decoder, &mut ring, state, reports, limits.answer) {
+        match handle_replies(&mut decoder, &mut ring, state, reports, limits.max_reply) {
             Ok(()) => {}
             // Frame boundaries are lost after an invalid frame, so nothing that follows it can be decoded.
             Err(why) => break Err(format!("invalid frame: {why}")),
@@ -916,7 +921,8 @@
 
 /// Handles the complete replies in the ring buffer.
 fn handle_replies(
-    decoder: &mut Decoder, ring: &mut Ring, state: &ConnectionState, reports: &ReportSender, max_body: usize,
+    decoder: &mut Decoder, ring: &mut RingBuffer, state: &ConnectionState, reports: &ReportSender,
+    max_body: usize,
 ) -> Result<(), String> {
     while let Some(frame) = decoder.next_frame(ring, max_body)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("unknown code {}", frame.code))?;
@@ -951,11 +957,14 @@
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let reports_crowd = matches!(outcome, Outcome::Ok | Outcome::Rejected);
-                let crowd = if reports_crowd { number("company") } else { None };
+                let is_reported = matches!(outcome, Outcome::Ok | Outcome::Rejected);
+                let function_inflight = if is_reported { number("company") } else { None };
                 let inflight = frame.inflight();
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.attempt_ended(key, Report { outcome, warm, crowd, inflight, payload });
+                reports.attempt_ended(
+                    key,
+                    AttemptReport { outcome, warm, function_inflight, inflight, payload },
+                );
             }
         }
     }
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -1,11 +1,11 @@
 //! KServe v2 over HTTP/1.1 to one worker. Each connection carries one exchange at a time. Load commands, copy queries
 //! and unloads use the model repository extension.
 use super::{ConnectionUsage, ReportSender, Transport};
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{ChunkedDecoder, ChunkedItem, Head};
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Payload, Report, Request};
-use crate::net::{spawn, timed_out};
-use crate::ring::Ring;
+use crate::messages::{AttemptKey, AttemptReport, Payload, Request};
+use crate::net::{is_timeout, spawn};
+use crate::ring::RingBuffer;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use heronslip_policy::json::{array, as_object, as_str, object, parse, string, unsigned};
 use heronslip_policy::{FunctionId, Micros, Outcome};
@@ -55,9 +55,9 @@
         ("class", json_string(&request.class)),
         ("tenant", json_string(&request.tenant)),
         ("wait_ms", Value::Number(Number::U64(budget / 1000))),
-        ("retry", Value::Bool(request.retry)),
+        ("retry", Value::Bool(request.is_retry)),
     ];
-    parameters.extend(request.token.as_deref().map(|t| ("token", json_string(t))));
+    parameters.extend(request.idempotency_key.as_deref().map(|key| ("token", json_string(key))));
     let body = json_object(vec![
         ("id", json_string(&format!("{:016x}", request.wire_id))),
         ("parameters", json_object(parameters)),
@@ -153,14 +153,14 @@
         // If no connection takes the job, the core's timer ends it.
         let _ = self.jobs.send(Job { kind, bytes, cancelled, epoch, is_new_work, deadline });
         let connections = self.state.connections.load(Ordering::Acquire);
-        if pending > connections && connections < self.limits.lanes_per_worker {
+        if pending > connections && connections < self.limits.connections_per_kserve_worker {
             self.state.connections.fetch_add(1, Ordering::AcqRel);
             let (address, limits, reports) = (self.address, self.limits.clone(), self.reports.clone());
             let (state, queue) = (self.state.clone(), self.queue.clone());
             let run = move || Connection { address, limits, reports, state, stream: None }.run(&queue);
-            if let Err(e) = spawn(self.limits.stack, run) {
+            if let Err(e) = spawn(self.limits.coroutine_stack, run) {
                 self.state.connections.fetch_sub(1, Ordering::AcqRel);
-                note!("worker {}: could not start a connection: {e}", self.address);
+                log_limited!("worker {}: could not start a connection: {e}", self.address);
             }
         }
     }
@@ -174,7 +174,7 @@
         let (host, length, budget) = (self.address, body.len(), budget / 1000);
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
-             Content-Length: {length}\r\nX-Budget-Ms: {budget}\r\n\r\n"
+             Content-Length: {length}\r\nX-MemoryBudget-Ms: {budget}\r\n\r\n"
         );
         [head.as_bytes(), body].concat()
     }
@@ -207,7 +207,7 @@
     }
 
     fn connections(&self) -> ConnectionUsage {
-        // `Limits::lanes_per_worker` bounds these connections, so the transport never asks for another.
+        // `Limits::connections_per_kserve_worker` bounds these connections, so the transport never asks for another.
         ConnectionUsage { open: self.state.connections.load(Ordering::Acquire), needs_new: false }
     }
 
@@ -224,11 +224,16 @@
             let parameters = json_object(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
             let body = json::to_string(&json_object(vec![("parameters", parameters)]));
             let path = format!("/v2/repository/models/{function:016x}/load");
-            self.post(&path, self.limits.order, body.as_bytes())
+            self.post(&path, self.limits.command_timeout, body.as_bytes())
         } else {
-            self.post("/v2/repository/index", self.limits.order, b"{\"ready\":true}")
+            self.post("/v2/repository/index", self.limits.command_timeout, b"{\"ready\":true}")
         };
-        self.enqueue(JobKind::Load { command, function, copies }, bytes, copies > 0, self.limits.order);
+        self.enqueue(
+            JobKind::Load { command, function, copies },
+            bytes,
+            copies > 0,
+            self.limits.command_timeout,
+        );
     }
 
     fn send_probe(&mut self, probe: u64) {
@@ -237,8 +242,8 @@
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
-        let bytes = self.post(&path, self.limits.order, b"{}");
-        self.enqueue(JobKind::Unload, bytes, false, self.limits.order);
+        let bytes = self.post(&path, self.limits.command_timeout, b"{}");
+        self.enqueue(JobKind::Unload, bytes, false, self.limits.command_timeout);
     }
 
     fn retire(&mut self) {
@@ -271,7 +276,7 @@
 impl Connection {
     fn run(mut self, queue: &Receiver<Job>) {
         loop {
-            match queue.recv_timeout(self.limits.worker_idle) {
+            match queue.recv_timeout(self.limits.worker_idle_timeout) {
                 Ok(job) => {
                     self.run_job(&job);
                     self.state.pending.fetch_sub(1, Ordering::AcqRel);
@@ -292,7 +297,7 @@
             JobKind::Attempt { key, wrapped } => {
                 let report = match result {
                     Ok(reply) => attempt_report(reply, *wrapped),
-                    Err(outcome) => Report::bare(outcome),
+                    Err(outcome) => AttemptReport::without_reply(outcome),
                 };
                 self.reports.attempt_ended(*key, report);
             }
@@ -323,12 +328,12 @@
         }
         let mut stream = match self.stream.take() {
             Some((stream, last_used))
-                if last_used.elapsed() < self.limits.worker_idle && is_still_open(&stream) =>
+                if last_used.elapsed() < self.limits.worker_idle_timeout && is_still_open(&stream) =>
             {
                 stream
             }
             _ => self.connect().map_err(|why| {
-                note!("worker {}: could not connect: {why}", self.address);
+                log_limited!("worker {}: could not connect: {why}", self.address);
                 Outcome::ConnectFailed
             })?,
         };
@@ -339,7 +344,7 @@
         self.write(&mut stream, job)?;
         let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
             if !job.cancelled.load(Ordering::Acquire) {
-                note!("worker {}: no complete reply, the request may have run: {why}", self.address);
+                log_limited!("worker {}: no complete reply, the request may have run: {why}", self.address);
             }
             // The request was written completely, so it may have run.
             Outcome::Reset
@@ -351,15 +356,16 @@
     }
 
     fn connect(&self) -> std::io::Result<TcpStream> {
-        let stream = TcpStream::connect_timeout(&self.address, self.limits.connect)?;
+        let stream = TcpStream::connect_timeout(&self.address, self.limits.connect_timeout)?;
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(self.limits.write_check))?;
-        stream.set_read_timeout(Some(self.limits.write_check))?;
+        stream.set_write_timeout(Some(self.limits.write_check_interval))?;
+        stream.set_read_timeout(Some(self.limits.write_check_interval))?;
         Ok(stream)
     }
 
     fn write(&self, stream: &mut TcpStream, job: &Job) -> Result<(), Outcome> {
-        let (mut ring, mut rest, mut stalled) = (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
+        let (mut ring, mut rest, mut stalled) =
+            (RingBuffer::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
         rest = &rest[ring.push(rest)..];
         debug_assert!(rest.is_empty());
         while !ring.is_empty() {
@@ -368,8 +374,8 @@
                     stalled = Duration::ZERO;
                     ring.consume(n);
                 }
-                Err(e) if timed_out(&e) && stalled < self.limits.write_stall => {
-                    stalled += self.limits.write_check;
+                Err(e) if is_timeout(&e) && stalled < self.limits.write_stall_timeout => {
+                    stalled += self.limits.write_check_interval;
                     if self.must_not_start(job) && ring.len() == job.bytes.len() {
                         return Err(Outcome::NotSent);
                     }
@@ -383,16 +389,16 @@
 
     /// Reads one reply, and tells whether the connection can carry another exchange.
     fn read(&self, stream: &mut TcpStream, job: &Job) -> Result<(Reply, bool), String> {
-        let mut ring = Ring::new(self.limits.client_ring);
+        let mut ring = RingBuffer::new(self.limits.client_buffer);
         let (mut head_bytes, mut body) = (Vec::new(), Vec::new());
         let mut head: Option<Head> = None;
-        let mut chunks = Chunked::default();
+        let mut chunks = ChunkedDecoder::default();
         let mut last_read = Instant::now();
         loop {
             if let Some(head) = head.as_ref() {
                 let complete = match head.length {
                     Some(length) => {
-                        ring.take(length - body.len(), &mut body);
+                        ring.drain_into(length - body.len(), &mut body);
                         body.len() == length
                     }
                     None if head.chunked => decode_chunks(&mut chunks, &mut ring, &mut body)?,
@@ -402,32 +408,32 @@
                     let reusable = !head.close && !head.chunked && ring.is_empty();
                     return Ok((Reply { status: head.status, body }, reusable));
                 }
-                if body.len() > self.limits.answer {
+                if body.len() > self.limits.max_reply {
                     return Err("the reply is too long".to_owned());
                 }
             }
-            while head.is_none() && ring.take(1, &mut head_bytes) > 0 {
+            while head.is_none() && ring.drain_into(1, &mut head_bytes) > 0 {
                 if head_bytes.ends_with(b"\r\n\r\n") {
-                    let parsed = Head::answer(&head_bytes)?;
-                    if parsed.length.is_some_and(|l| l > self.limits.answer) {
+                    let parsed = Head::parse_response(&head_bytes)?;
+                    if parsed.length.is_some_and(|l| l > self.limits.max_reply) {
                         return Err("the reply is too long".to_owned());
                     }
                     head_bytes.clear();
                     head = (parsed.status >= 200).then_some(parsed); // skips 1xx responses such as 100 Continue
-                } else if head_bytes.len() > self.limits.head {
+                } else if head_bytes.len() > self.limits.max_head {
                     return Err("the reply's head is too long".to_owned());
                 }
             }
             if head.is_some() && (!ring.is_empty() || head.as_ref().is_some_and(|h| h.length == Some(0))) {
                 continue;
             }
-            match ring.fill(stream) {
+            match ring.read_from(stream) {
                 Ok(0) => return Err("the worker closed the connection".to_owned()),
                 Ok(_) => last_read = Instant::now(),
-                Err(e) if timed_out(&e) => {
+                Err(e) if is_timeout(&e) => {
                     // As with frames, a reply that has begun must go on without long pauses.
                     let begun = head.is_some() || !head_bytes.is_empty();
-                    if begun && last_read.elapsed() > self.limits.frame_stall {
+                    if begun && last_read.elapsed() > self.limits.reply_stall_timeout {
                         return Err("the reply stopped before its end".to_owned());
                     }
                     // HTTP/1.1 has no cancel: closing the connection is the only way to end an exchange early.
@@ -443,18 +449,20 @@
 
 /// Whether an idle connection can be used: neither bytes nor its end may be waiting to be read.
 fn is_still_open(stream: &TcpStream) -> bool {
-    matches!(stream.inner().peek(&mut [0]), Err(e) if timed_out(&e))
+    matches!(stream.inner().peek(&mut [0]), Err(e) if is_timeout(&e))
 }
 
 /// Decodes the bytes in the ring buffer; whether the last chunk has been reached.
-fn decode_chunks(chunks: &mut Chunked, ring: &mut Ring, body: &mut Vec<u8>) -> Result<bool, String> {
+fn decode_chunks(
+    chunks: &mut ChunkedDecoder, ring: &mut RingBuffer, body: &mut Vec<u8>,
+) -> Result<bool, String> {
     let mut bytes = Vec::new();
-    ring.take(usize::MAX, &mut bytes);
+    ring.drain_into(usize::MAX, &mut bytes);
     for byte in bytes {
-        match chunks.byte(byte)? {
-            Coded::Byte(byte) => body.push(byte),
-            Coded::Nothing => {}
-            Coded::End => return Ok(true),
+        match chunks.decode(byte)? {
+            ChunkedItem::Content(byte) => body.push(byte),
+            ChunkedItem::Framing => {}
+            ChunkedItem::End => return Ok(true),
         }
     }
     Ok(false)
@@ -475,7 +483,7 @@
     }
 }
 
-fn attempt_report(reply: Reply, wrapped: bool) -> Report {
+fn attempt_report(reply: Reply, wrapped: bool) -> AttemptReport {
     let json = parse_json(&reply.body);
     let response = json.as_ref().and_then(as_object);
     let parameters = response.and_then(|r| object(r, "parameters"));
@@ -484,7 +492,8 @@
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = parameters.and_then(|p| unsigned(p, "company")).map(|n| n.min(MAX_REPORTED_COUNT) as u32);
+    let function_inflight =
+        parameters.and_then(|p| unsigned(p, "company")).map(|n| n.min(MAX_REPORTED_COUNT) as u32);
     let mut outcome = outcome(reply.status);
     let payload = match outcome {
         Outcome::Ok if wrapped => response.and_then(unwrap_response).map(Payload::Bytes),
@@ -494,7 +503,7 @@
     if outcome == Outcome::Ok && payload.is_none() {
         outcome = Outcome::Error; // the request ran, but its result cannot be passed on
     }
-    Report { outcome, warm, crowd, inflight: None, payload }
+    AttemptReport { outcome, warm, function_inflight, inflight: None, payload }
 }
 
 /// The outcome of a load command or a copy query, and the number of loaded copies.
--- a/heronslip/src/worker/mod.rs
+++ b/heronslip/src/worker/mod.rs
@@ -3,7 +3,7 @@
 pub mod kserve;
 
 use crate::limits::Limits;
-use crate::messages::{AttemptKey, Message, Report, Request, Speech};
+use crate::messages::{AttemptKey, AttemptReport, Message, Request, WorkerProtocol};
 use heronslip_policy::{FunctionId, Micros, Outcome};
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
@@ -16,18 +16,18 @@
 
 impl ReportSender {
     /// Reports that an attempt ended.
-    pub fn attempt_ended(&self, key: AttemptKey, report: Report) {
-        let _ = self.0.send(Message::Ended(key, report)); // fails only while the process exits
+    pub fn attempt_ended(&self, key: AttemptKey, report: AttemptReport) {
+        let _ = self.0.send(Message::AttemptEnded { key, report }); // fails only while the process exits
     }
 
     /// Reports that a load command or a copy query ended, with the number of loaded copies.
     pub fn load_ended(&self, command: u64, outcome: Outcome, copies: u32) {
-        let _ = self.0.send(Message::Ordered(command, outcome, copies));
+        let _ = self.0.send(Message::LoadEnded { command, outcome, copies });
     }
 
     /// Reports that a probe ended, with the number of requests in flight where the worker reported it.
     pub fn probe_ended(&self, probe: u64, outcome: Outcome, inflight: Option<f64>) {
-        let _ = self.0.send(Message::Probed(probe, outcome, inflight));
+        let _ = self.0.send(Message::ProbeEnded { probe, outcome, inflight });
     }
 }
 
@@ -79,10 +79,14 @@
 
 /// Creates the transport for a worker's protocol.
 pub fn new_transport(
-    speech: Speech, address: SocketAddr, limits: &Arc<Limits>, reports: &ReportSender,
+    speech: WorkerProtocol, address: SocketAddr, limits: &Arc<Limits>, reports: &ReportSender,
 ) -> Box<dyn Transport> {
     match speech {
-        Speech::Frames => Box::new(frames::FrameTransport::new(address, limits.clone(), reports.clone())),
-        Speech::Kserve => Box::new(kserve::KserveTransport::new(address, limits.clone(), reports.clone())),
+        WorkerProtocol::Frames => {
+            Box::new(frames::FrameTransport::new(address, limits.clone(), reports.clone()))
+        }
+        WorkerProtocol::Kserve => {
+            Box::new(kserve::KserveTransport::new(address, limits.clone(), reports.clone()))
+        }
     }
 }
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -1,8 +1,8 @@
 //! Decoders of the wire formats.
 use heronslip::discovery::parse_endpoints;
-use heronslip::http::{Chunked, Coded, Head};
-use heronslip::messages::Speech;
-use heronslip::ring::Ring;
+use heronslip::http::{ChunkedDecoder, ChunkedItem, Head};
+use heronslip::messages::WorkerProtocol;
+use heronslip::ring::RingBuffer;
 use heronslip::worker::frames::Decoder;
 use heronslip_policy::json::{as_object, parse};
 use heronslip_policy::WorkerState;
@@ -18,7 +18,7 @@
 /// Frames are decoded however the stream is split, also where they wrap around the end of the ring buffer.
 #[rstest]
 fn split_frames_are_decoded(#[values(1, 3, 7, 50)] piece_length: usize) {
-    let (mut ring, mut decoder, mut bodies) = (Ring::new(64), Decoder::default(), Vec::new());
+    let (mut ring, mut decoder, mut bodies) = (RingBuffer::new(64), Decoder::default(), Vec::new());
     let stream = [reply_frame(200, b"one"), reply_frame(202, b""), reply_frame(200, b"three")].concat();
     for piece in stream.chunks(piece_length) {
         assert_eq!(ring.push(piece), piece.len());
@@ -38,7 +38,7 @@
 fn invalid_frames_are_rejected(#[case] position: usize, #[case] byte: u8) {
     let mut bytes = reply_frame(200, b"body");
     bytes[position] = byte;
-    let mut ring = Ring::new(64);
+    let mut ring = RingBuffer::new(64);
     ring.push(&bytes);
     assert!(Decoder::default().next_frame(&mut ring, 100).is_err());
 }
@@ -46,22 +46,24 @@
 /// Of log lines that peers can cause at full speed, only a few per second are written and the rest is counted.
 #[test]
 fn repeated_lines_are_counted() {
-    let line = heronslip::log::Line::new();
-    let written = (0..1_000).filter_map(|_| line.admit(7, format_args!("x"))).count();
+    let limit = heronslip::log::RateLimit::new();
+    let written = (0..1_000).filter_map(|_| limit.admit(7, format_args!("x"))).count();
     assert_eq!(written, 5);
-    assert_eq!(line.admit(8, format_args!("x")), Some("x (995 more such lines were left out)".to_owned()));
+    assert_eq!(limit.admit(8, format_args!("x")), Some("x (995 similar lines omitted)".to_owned()));
 }
 
 #[test]
 fn chunked_bodies_are_decoded() {
-    let mut chunked = Chunked::default();
-    let coded: Vec<Coded> =
-        b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n".iter().map(|&b| chunked.byte(b).expect("a valid body")).collect();
+    let mut chunked = ChunkedDecoder::default();
+    let coded: Vec<ChunkedItem> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
+        .iter()
+        .map(|&b| chunked.decode(b).expect("a valid body"))
+        .collect();
     let content: Vec<u8> =
-        coded.iter().filter_map(|c| if let Coded::Byte(b) = c { Some(*b) } else { None }).collect();
-    assert_eq!((content, coded.last()), (b"abcd".to_vec(), Some(&Coded::End)));
-    let mut invalid = Chunked::default();
-    assert!(b"zz\r\n".iter().any(|&b| invalid.byte(b).is_err()));
+        coded.iter().filter_map(|c| if let ChunkedItem::Content(b) = c { Some(*b) } else { None }).collect();
+    assert_eq!((content, coded.last()), (b"abcd".to_vec(), Some(&ChunkedItem::End)));
+    let mut invalid = ChunkedDecoder::default();
+    assert!(b"zz\r\n".iter().any(|&b| invalid.decode(b).is_err()));
 }
 
 #[rstest]
@@ -69,7 +71,7 @@
 #[case::negative_length("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n")]
 #[case::no_request_line("\0\r\n\r\n")]
 fn invalid_heads_are_rejected(#[case] head: &str) {
-    assert!(Head::request(head.as_bytes()).is_err());
+    assert!(Head::parse_request(head.as_bytes()).is_err());
 }
 
 /// As in Envoy, an endpoint of unknown health accepts work, and a draining one accepts nothing new.
@@ -85,7 +87,10 @@
         "metadata":{{"filter_metadata":{{"heronslip":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let members = parse_endpoints(as_object(&json).expect("an object")).expect("valid endpoints");
-    let m = &members[0];
-    assert_eq!((m.state, m.speech, &m.id[..], &m.zone[..], m.cell), (state, Speech::Kserve, "w1", "east", 3));
+    let workers = parse_endpoints(as_object(&json).expect("an object")).expect("valid endpoints");
+    let worker = &workers[0];
+    assert_eq!(
+        (worker.state, worker.protocol, &worker.id[..], &worker.zone[..], worker.cell),
+        (state, WorkerProtocol::Kserve, "w1", "east", 3)
+    );
 }
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -39,10 +39,10 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-use heronslip::front::{accept, Acceptor, FrontContext};
-use heronslip::limits::{Budget, Limits};
+use heronslip::limits::{Limits, MemoryBudget};
 use heronslip::messages::Message;
-use heronslip::net::Permits;
+use heronslip::net::ConnectionLimiter;
+use heronslip::server::{accept_connections, Acceptor, ServerContext};
 use std::time::{Duration, Instant};
 
 /// The function that all calls name.
@@ -100,7 +100,7 @@
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
  "failure-domains":["zone-a","zone-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
  "family-info":{"free-loads":4,"keep":8000,"load-span":5000,"load-wait":4000,"loads-per-request":0.15,
- "machine-mb":[90000],"orders":true,"tells-crowd":true,"tells-warm":true,"when-absent":"load"},
+ "machine-mb":[90000],"orders":true,"tells-function_inflight":true,"tells-warm":true,"when-absent":"load"},
  "limits":{"conn-idle":15000,"connect-timeout":250,"max-attempts":3,"max-retry-after":1000,"may-cancel":true,
  "probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"drain-grace":1000,"fall":1000,
  "fall-multiple":2,"warm-within":17000}}"#;
@@ -729,30 +729,30 @@
 }
 
 /// The context that servers need, and the core's end of the queue.
-pub fn test_context(change: impl FnOnce(&mut Limits)) -> (FrontContext, Receiver<Message>) {
+pub fn test_context(change: impl FnOnce(&mut Limits)) -> (ServerContext, Receiver<Message>) {
     let mut limits = Limits::new(192, 256, &heronslip_policy::Settings::default());
     change(&mut limits);
-    heronslip::net::schedule(&limits);
+    heronslip::net::configure_scheduler(&limits);
     let (core, queue) = channel();
     let limits = Arc::new(limits);
-    let context = FrontContext {
+    let context = ServerContext {
         core,
-        budget: Budget::new(limits.held_bytes),
-        permits: Permits::new(limits.client_connections),
+        memory_budget: MemoryBudget::new(limits.buffered_bytes),
+        connection_limiter: ConnectionLimiter::new(limits.client_connections),
         limits,
-        unsent: Arc::default(),
+        unsent_bytes: Arc::default(),
         shared: Arc::default(),
-        reading: Arc::default(),
+        incoming_requests: Arc::default(),
         closing: Arc::default(),
     };
     (context, queue)
 }
 
 /// Starts a FastCGI server with this context, and returns its address.
-pub fn start_fastcgi_server(context: &FrontContext) -> SocketAddr {
+pub fn start_fastcgi_server(context: &ServerContext) -> SocketAddr {
     let acceptor = Acceptor::new(may::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let (address, context) = (acceptor.listener.local_addr().expect("bound"), context.clone());
-    let run = move || accept(&acceptor, &context, "test", heronslip::front::fastcgi::serve);
+    let run = move || accept_connections(&acceptor, &context, "test", heronslip::server::fastcgi::serve);
     heronslip::net::spawn(64 * 1024, run).expect("a coroutine");
     address
 }
--- a/heronslip/tests/list_events.rs
+++ b/heronslip/tests/list_events.rs
@@ -2,7 +2,7 @@
 use heronslip::discovery::event_stream::{EventStream, StreamItem};
 use heronslip::discovery::json_array::ScanError;
 use heronslip::discovery::{EventBounds, EventError, EventReader, WorkerTable};
-use heronslip::messages::Member;
+use heronslip::messages::ListedWorker;
 use heronslip_policy::WorkerState;
 use rstest::rstest;
 
@@ -25,17 +25,17 @@
 }
 
 /// Parses an event. Returns its valid entries, the number of invalid ones, and whether it is a full list.
-fn read(text: &str) -> Result<(Vec<Member>, usize, bool), EventError> {
+fn read(text: &str) -> Result<(Vec<ListedWorker>, usize, bool), EventError> {
     let mut reader = EventReader::new(BOUNDS);
-    let (mut members, mut invalid) = (Vec::new(), 0);
+    let (mut workers, mut invalid) = (Vec::new(), 0);
     for byte in text.bytes() {
         match reader.push(byte)? {
-            Some(Ok(member)) => members.push(member),
+            Some(Ok(worker)) => workers.push(worker),
             Some(Err(_)) => invalid += 1,
             None => {}
         }
     }
-    Ok((members, invalid, reader.finish()?))
+    Ok((workers, invalid, reader.finish()?))
 }
 
 fn entry(id: &str) -> String {
@@ -51,11 +51,14 @@
 #[test]
 fn an_event_is_parsed() {
     let text = event(true, &format!("{}, {}", entry("s-1"), entry("s-2")));
-    let (members, invalid, full) = read(&text).expect("a valid event");
-    let m = &members[0];
-    assert_eq!((members.len(), invalid, full), (2, 0, true));
-    assert_eq!((m.id.as_str(), m.zone.as_str(), m.state), ("s-1", "a]}\",", WorkerState::Draining));
-    assert_eq!((m.started_at, m.cell), (5_000, 2));
+    let (workers, invalid, full) = read(&text).expect("a valid event");
+    let worker = &workers[0];
+    assert_eq!((workers.len(), invalid, full), (2, 0, true));
+    assert_eq!(
+        (worker.id.as_str(), worker.zone.as_str(), worker.state),
+        ("s-1", "a]}\",", WorkerState::Draining)
+    );
+    assert_eq!((worker.started_at, worker.cell), (5_000, 2));
 }
 
 #[rstest]
@@ -67,8 +70,8 @@
 fn entries_that_are_not_objects_do_not_affect_others(
     #[case] instances: &str, #[case] valid: usize, #[case] invalid: usize,
 ) {
-    let (members, skipped, full) = read(&event(false, instances)).expect("a valid event");
-    assert_eq!((members.len(), skipped, full), (valid, invalid, false));
+    let (workers, skipped, full) = read(&event(false, instances)).expect("a valid event");
+    assert_eq!((workers.len(), skipped, full), (valid, invalid, false));
 }
 
 #[rstest]
@@ -103,7 +106,7 @@
         );
         table.stage(heronslip::discovery::instance::parse_instance(text.as_bytes()), &mut staged);
     }
-    table.commit(full, staged).into_iter().map(|m| (m.id, m.state)).collect()
+    table.commit(full, staged).into_iter().map(|worker| (worker.id, worker.state)).collect()
 }
 
 #[test]
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -16,7 +16,7 @@
 
 /// A transport to this address. It runs on one scheduler thread, as in the program.
 fn frame_transport(address: SocketAddr, limits: Limits, reports: mpsc::Sender<Message>) -> FrameTransport {
-    heronslip::net::schedule(&limits);
+    heronslip::net::configure_scheduler(&limits);
     FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
@@ -26,14 +26,14 @@
     let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = Duration::from_secs(20);
+    limits.connect_timeout = Duration::from_secs(20);
     let (queue, reports) = mpsc::channel();
     let mut transport = frame_transport(address, limits, queue);
     transport.send_load(1, 7, 1, None);
     transport.retire();
     let accepted: Vec<TcpStream> = (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ordered(1, outcome, 0)) => assert_eq!(outcome, Outcome::NotSent),
+        Ok(Message::LoadEnded { command: 1, outcome, copies: 0 }) => assert_eq!(outcome, Outcome::NotSent),
         _ => panic!("the load command did not end"),
     }
     drop((transport, fillers)); // closes every connection from this side
@@ -50,7 +50,7 @@
     let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = Duration::from_secs(20);
+    limits.connect_timeout = Duration::from_secs(20);
     let (queue, _reports) = mpsc::channel();
     let mut transport = frame_transport(address, limits, queue);
     let since = Instant::now();
@@ -104,15 +104,15 @@
         tenant: String::new(),
         function: 7,
         wait: 1_000_000,
-        read_at: Instant::now(),
-        token: None,
-        retry: false,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
         memory_mb: 0.0,
         lanes: 1,
         load_time: 0,
         payload: Payload::Bytes(Vec::new()),
-        held: None,
-        reading: None,
+        reservation: None,
+        incoming: None,
     })
 }
 
@@ -155,7 +155,7 @@
     let (_, id, _) = read_command(&mut stream);
     write_reply(&mut stream, 203, id, fields);
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(_, report)) => assert_eq!(report.inflight, inflight),
+        Ok(Message::AttemptEnded { report, .. }) => assert_eq!(report.inflight, inflight),
         _ => panic!("the attempt did not end"),
     }
 }
@@ -197,7 +197,7 @@
 /// Waits for the end of an attempt.
 fn attempt_end(reports: &mpsc::Receiver<Message>) -> (AttemptKey, Outcome) {
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(key, report)) => (key, report.outcome),
+        Ok(Message::AttemptEnded { key, report }) => (key, report.outcome),
         _ => panic!("no attempt ended"),
     }
 }
