--- a/heronslip/tests/crossings.rs
+++ b/heronslip/tests/crossings.rs
@@ -15,11 +15,11 @@
     let (mut old, new) = (ScriptedWorker::new(), ScriptedWorker::new());
     let program =
         TestProgram::with(ProgramConfig { workers: vec![old.address()], ..ProgramConfig::default() });
-    let (_, mut board) = program.discovery_request();
+    let (_, mut discovery) = program.discovery_request();
     let mut client = connect(program.fastcgi);
     client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "x")).expect("written");
     let call = old.command();
-    send_event(&mut board, 2, false, &[instance("w0", new.address(), "ready", 0)]);
+    send_event(&mut discovery, 2, false, &[instance("w0", new.address(), "ready", 0)]);
     program.wait_for_state(&format!(r#""address":"{}","name":"w0""#, new.address()));
     old.serve(call.id, "DONE");
     let (head, body, _) = read_fastcgi_response(&mut client).expect("a response");
@@ -34,13 +34,13 @@
     let (first, second) = (ScriptedWorker::new(), ScriptedWorker::new());
     let workers = vec![first.address(), second.address()];
     let program = TestProgram::with(ProgramConfig { workers, ..ProgramConfig::default() });
-    let (_, mut board) = program.discovery_request();
-    send_event(&mut board, 2, false, &[instance("w0", second.address(), "ready", 0)]);
+    let (_, mut discovery) = program.discovery_request();
+    send_event(&mut discovery, 2, false, &[instance("w0", second.address(), "ready", 0)]);
     program.wait_for_worker("w1", "absent", "another worker has its address");
     program.wait_for_worker("w0", "ready", "it has moved");
     // The late report of the other's end must not affect the worker that is there.
-    send_event(&mut board, 3, false, &[instance("w1", second.address(), "gone", 0)]);
-    send_event(&mut board, 4, false, &[instance("w2", first.address(), "ready", 0)]);
+    send_event(&mut discovery, 3, false, &[instance("w1", second.address(), "gone", 0)]);
+    send_event(&mut discovery, 4, false, &[instance("w2", first.address(), "ready", 0)]);
     program.wait_for_worker("w2", "ready", "the last event is applied");
     program.wait_for_worker("w0", "ready", "it is still there");
 }
@@ -51,9 +51,9 @@
     let (first, second) = (ScriptedWorker::new(), ScriptedWorker::new());
     let program =
         TestProgram::with(ProgramConfig { workers: vec![first.address()], ..ProgramConfig::default() });
-    let (_, mut board) = program.discovery_request();
+    let (_, mut discovery) = program.discovery_request();
     let at = second.address();
-    send_event(&mut board, 2, true, &[instance("new", at, "ready", 5), instance("old", at, "ready", 0)]);
+    send_event(&mut discovery, 2, true, &[instance("new", at, "ready", 5), instance("old", at, "ready", 0)]);
     program.wait_for_worker("new", "ready", "it started later");
     program.wait_for_worker("old", "absent", "it cannot be at the same address");
 }
@@ -65,11 +65,11 @@
     let (mut left_out, mut kept) = (ScriptedWorker::new(), ScriptedWorker::new());
     let program =
         TestProgram::with(ProgramConfig { workers: vec![left_out.address()], ..ProgramConfig::default() });
-    let (_, mut board) = program.discovery_request();
+    let (_, mut discovery) = program.discovery_request();
     let mut client = connect(program.fastcgi);
     client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "x")).expect("written");
     let first = left_out.command();
-    send_event(&mut board, 2, true, &[instance("kept", kept.address(), "ready", 0)]);
+    send_event(&mut discovery, 2, true, &[instance("kept", kept.address(), "ready", 0)]);
     program.wait_for_worker("kept", "ready", "the list is applied");
     client.write_all(&fastcgi_call(2, "00000000000000a2", "9000", "y")).expect("written");
     let second = kept.command();
@@ -88,14 +88,14 @@
     let mut worker = ScriptedWorker::new();
     let program =
         TestProgram::with(ProgramConfig { workers: vec![worker.address()], ..ProgramConfig::default() });
-    let (_, mut board) = program.discovery_request();
+    let (_, mut discovery) = program.discovery_request();
     let mut client = connect(program.fastcgi);
     client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "x")).expect("written");
     let call = worker.command();
     let (address, now) = (worker.address(), std::time::SystemTime::now());
     let started = now.duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis() as u64;
     let other = instance("other", "127.0.0.1:9".parse().expect("an address"), "draining", 0);
-    send_event(&mut board, 2, false, &[instance("w0", address, "ready", started), other]);
+    send_event(&mut discovery, 2, false, &[instance("w0", address, "ready", started), other]);
     program.wait_for_worker("other", "draining", "the event is applied");
     worker.serve(call.id, "DONE");
     let (head, body, _) = read_fastcgi_response(&mut client).expect("a response");
--- a/heronslip/tests/descriptors.rs
+++ b/heronslip/tests/descriptors.rs
@@ -71,8 +71,8 @@
     assert!(max_descriptors <= 256, "{max_descriptors} descriptors");
     let draining = instance("w7", "127.0.0.1:9".parse().expect("an address"), "draining", 0);
     let event = format!(r#"{{"rev":2,"pool":{{"reset":false,"instances":[{draining}]}}}}"#);
-    let (_, mut board) = program.new_discovery_request();
-    board.write_all(format!("id: 2\ndata: {event}\n\n").as_bytes()).expect("written");
+    let (_, mut discovery) = program.new_discovery_request();
+    discovery.write_all(format!("id: 2\ndata: {event}\n\n").as_bytes()).expect("written");
     program.wait_for_worker("w7", "draining", "the list is followed");
     drop(silent);
 }
--- a/heronslip/tests/fronts.rs
+++ b/heronslip/tests/fronts.rs
@@ -66,8 +66,8 @@
 }
 
 #[rstest]
-// Only the workers of one hall drop duplicates of this class: a request that may have run must stay there.
-#[case::deduplicated_request_stays_in_its_hall(
+// Only the workers of one zone drop duplicates of this class: a request that may have run must stay there.
+#[case::deduplicated_request_stays_in_its_zone(
     "
     client send tile-order k1 x 700
     worker expect tile-order k1 x
