--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -1,20 +1,20 @@
-//! The experiment file: what a run consists of. It is read from TOML and checked whole before anything starts.
+//! The experiment file, in TOML. It is validated completely before the run starts.
 //!
-//! Times are seconds (`_s`) or milliseconds (`_ms`), sizes megabytes (`_mb`), rates events a second (`_per_s`).
-//! What a front end is told of its deployment (classes, limits, prices, machine memory) stands in the settings
-//! file that `settings` names, in the platform's own form.
+//! Times are in seconds (`_s`) or milliseconds (`_ms`), sizes in megabytes (`_mb`), rates in events per second
+//! (`_per_s`). What a front end is configured with for its deployment (classes, limits, prices, machine memory) is in
+//! the settings file that `settings` names, in the platform's own format.
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// Why an experiment cannot be run as it is written.
+/// Why an experiment file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// Why it cannot be read.
         source: std::io::Error,
     },
     /// A key is unknown, missing, of the wrong type or out of its range.
@@ -22,22 +22,22 @@
     Key {
         /// The experiment file.
         path: PathBuf,
-        /// Its line, counted from 1.
+        /// The line, from 1 on.
         line: usize,
-        /// The key at fault.
+        /// The key.
         key: String,
-        /// What is wrong with it.
+        /// Why its value cannot be used.
         problem: String,
     },
 }
 
-/// One experiment.
+/// An experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Names the results.
+    /// Names the result files.
     pub name: String,
-    /// Starts every random number of the run.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
     /// Length of the run, from the first call on.
     pub duration_s: f64,
@@ -47,132 +47,136 @@
     /// Length of a step of the virtual clock.
     #[serde(default = "default_step_ms")]
     pub step_ms: f64,
-    /// The settings that front ends are told, as a file beside the experiment.
+    /// The settings file of the front ends, relative to the experiment file.
     pub settings: PathBuf,
-    /// Front ends, workers and where they stand.
-    pub fleet: FleetSize,
-    /// What a worker can do.
-    pub workers: WorkerShape,
+    /// Numbers of front ends, workers, zones and regions.
+    pub fleet: FleetConfig,
+    /// Capacity of a worker.
+    pub workers: WorkerConfig,
     /// The store from which workers fetch functions.
-    pub store: StoreShape,
-    /// What is called.
-    pub functions: FunctionShape,
-    /// How it is called.
-    pub calls: CallShape,
-    /// The way between the parties.
+    pub store: StoreConfig,
+    /// The functions that clients call.
+    pub functions: FunctionConfig,
+    /// The calls of the clients.
+    pub calls: CallConfig,
+    /// Latency of the network.
     #[serde(default)]
-    pub network: NetworkShape,
-    /// The board that tells the list of workers.
-    #[serde(default)]
-    pub board: BoardShape,
+    pub network: NetworkConfig,
+    /// The discovery server that sends the worker list.
+    #[serde(default, rename = "board")]
+    pub discovery: DiscoveryConfig,
     /// Real front ends, in the role `node`.
     #[serde(default)]
-    pub node: NodeShape,
-    /// Failures and bursts, each at its time.
-    #[serde(default)]
-    pub failure: Vec<Failure>,
+    pub node: NodeConfig,
+    /// Failures and bursts of changes.
+    #[serde(default, rename = "failure")]
+    pub failures: Vec<Failure>,
 }
 
-/// How many there are of each party.
+/// Numbers of front ends, workers, zones and regions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FleetSize {
+pub struct FleetConfig {
     /// Front ends that run in the experiment.
     pub front_ends: u32,
-    /// Front ends that the settings name; the rest are played as load and copies at the workers.
-    pub told_front_ends: Option<u32>,
+    /// Front ends that the settings name, if more than run. The others are simulated as background load: calls and
+    /// copies at the workers.
+    #[serde(rename = "told_front_ends")]
+    pub configured_front_ends: Option<u32>,
     /// Regions; zones and front ends are spread evenly over them.
-    #[serde(default = "one")]
+    #[serde(default = "default_count")]
     pub regions: u32,
     /// Zones over all regions.
-    #[serde(default = "one")]
+    #[serde(default = "default_count")]
     pub zones: u32,
-    /// Workers listed.
+    /// Listed workers.
     pub workers: u32,
 }
 
-/// What a worker can do.
+/// Capacity of a worker.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkerShape {
-    /// Cores; calls in work beyond this slow each other down.
+pub struct WorkerConfig {
+    /// Cores; more running calls than cores slow each other down.
     pub cores: u32,
-    /// Loads that run at a time; twice as many may wait.
+    /// Loads that run at the same time; twice as many may be queued.
     pub loads_at_once: u32,
-    /// Calls that may be held; beyond that a worker answers that it is full.
-    pub most_held: u32,
+    /// Calls that may run or be queued; a worker rejects further calls as full.
+    #[serde(rename = "most_held")]
+    pub max_inflight: u32,
 }
 
 /// The store from which workers fetch functions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoreShape {
-    /// Fetches served a second, over the whole fleet.
+pub struct StoreConfig {
+    /// Fetches served per second, over the whole fleet.
     pub fetches_per_s: f64,
-    /// Fetches that may wait; beyond that a load fails.
-    pub most_waiting: u32,
-    /// Part of a function's load time that is the fetch; the rest is its start.
+    /// Fetches that may be queued; beyond that a load fails.
+    #[serde(rename = "most_waiting")]
+    pub max_queued: u32,
+    /// Share of a function's load time that is the fetch; the rest is its start.
     #[serde(default = "default_fetch_share")]
     pub fetch_share: f64,
 }
 
-/// What is called.
+/// The functions that clients call.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FunctionShape {
-    /// Functions in all.
+pub struct FunctionConfig {
+    /// Number of functions.
     pub count: u32,
-    /// Exponent of the popularity (Zipf): the call share of rank r goes with r to the minus this.
+    /// Exponent of the popularity (Zipf): the call share of rank r is proportional to r to the power of minus this.
     pub exponent: f64,
-    /// Memory of a copy, drawn evenly.
+    /// Memory of a copy, drawn uniformly.
     pub memory_mb: [f64; 2],
-    /// Time of a load, drawn evenly.
+    /// Duration of a load, drawn uniformly.
     pub load_ms: [f64; 2],
-    /// Work of a call on an idle worker, drawn evenly for each function.
+    /// Duration of a call on an idle worker, drawn uniformly for each function.
     pub work_ms: [f64; 2],
-    /// Calls that a copy runs at a time.
+    /// Calls that a copy can run at the same time.
     pub lanes: u32,
 }
 
-/// How functions are called.
+/// The calls of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CallShape {
-    /// Calls a second at a front end, on the mean over all.
+pub struct CallConfig {
+    /// Calls per second at a front end, as the mean over all.
     pub per_front_end_s: f64,
-    /// Unevenness: the busiest front end gets this multiple of the mean, the others share the rest evenly.
-    #[serde(default = "one_f")]
+    /// The busiest front end gets this multiple of the mean; the other front ends share the rest evenly.
+    #[serde(default = "default_busiest")]
     pub busiest: f64,
-    /// Time over which calls grow evenly from none to their full rate: a fleet that is cold everywhere at once is a
-    /// case of its own.
+    /// Time over which the call rate grows linearly from zero to its full value. Without a ramp the run starts with
+    /// the whole fleet cold, which is a case of its own.
     #[serde(default)]
     pub ramp_s: f64,
-    /// Part of the functions in each class, in the settings' order.
+    /// Share of the functions in each class, in the settings' order.
     pub class_shares: Vec<f64>,
-    /// Further tries that a client makes after a refusal.
+    /// How often a client retries a refused call.
     #[serde(default)]
     pub retries: u32,
 }
 
-/// The way between the parties.
+/// Latency of the network.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct NetworkShape {
-    /// One way inside a zone.
+pub struct NetworkConfig {
+    /// One-way latency inside a zone.
     pub same_zone_ms: f64,
-    /// One way between zones.
+    /// One-way latency between zones.
     pub cross_zone_ms: f64,
 }
 
-/// The board that tells the list of workers.
+/// The discovery server that sends the worker list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct BoardShape {
-    /// How late a change is told, drawn evenly for each front end and change.
+pub struct DiscoveryConfig {
+    /// Delay of a change, drawn uniformly for each front end and change.
     pub delay_ms: [f64; 2],
-    /// Events that the board can tell again; whoever missed more gets the whole list.
+    /// Events that the discovery server can send again; a front end that missed more gets the whole list.
     pub history: u32,
-    /// Single changes of the list an hour, spread evenly.
+    /// Changes of single workers per hour, spread evenly.
     pub changes_per_hour: f64,
     /// Workers of a burst that one event carries.
     pub changes_per_event: u32,
@@ -181,30 +185,31 @@
 /// Real front ends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct NodeShape {
-    /// Whether the configuration holds the whole list; else the board tells it.
-    pub told_at_start: bool,
-    /// Memory limit that each is told.
+pub struct NodeConfig {
+    /// Whether the configuration holds the whole worker list; otherwise the discovery server sends it.
+    #[serde(rename = "told_at_start")]
+    pub list_in_configuration: bool,
+    /// Memory limit configured for each front end.
     pub memory_mb: u32,
-    /// Descriptor limit that each is told.
+    /// Descriptor limit configured for each front end.
     pub sockets: u32,
 }
 
-/// What happens at a time.
+/// A failure or a burst of changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
-    /// When, from the first call on.
+    /// Time since the first call.
     pub at_s: f64,
-    /// What.
+    /// What fails.
     pub kind: FailureKind,
-    /// How long it lasts, where it has an end.
+    /// How long it lasts, for kinds that have an end.
     pub for_s: Option<f64>,
-    /// Part of the front ends or workers it takes.
+    /// Share of the front ends or workers that fail.
     pub share: Option<f64>,
-    /// The zone it takes, counted from 0.
+    /// The zone that fails, from 0 on.
     pub zone: Option<u32>,
-    /// The region it cuts off, counted from 0.
+    /// The region that is cut off, from 0 on.
     pub region: Option<u32>,
     /// Changes in a burst.
     pub count: Option<u32>,
@@ -214,15 +219,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureKind {
-    /// A part of the front ends ends at once and comes back knowing nothing.
+    /// A share of the front ends ends at the same time and restarts without any state.
     FrontEndsLost,
-    /// A part of the workers ends at once and comes back empty.
+    /// A share of the workers ends at the same time and restarts without any copies.
     WorkersLost,
-    /// A zone's workers and front ends end at once and come back.
+    /// The workers and front ends of a zone end at the same time and restart.
     ZoneLost,
-    /// A region's front ends hear nothing of the board.
+    /// The front ends of a region lose the discovery server.
     BoardCut,
-    /// So many workers are replaced by new ones at once.
+    /// A number of workers are replaced by new ones at the same time.
     ListChanges,
 }
 
@@ -234,63 +239,68 @@
     0.6
 }
 
-fn one() -> u32 {
+fn default_count() -> u32 {
     1
 }
 
-fn one_f() -> f64 {
+fn default_busiest() -> f64 {
     1.0
 }
 
-impl Default for NodeShape {
+impl Default for NodeConfig {
     fn default() -> Self {
-        NodeShape { told_at_start: true, memory_mb: 192, sockets: 1024 }
+        NodeConfig { list_in_configuration: true, memory_mb: 192, sockets: 1024 }
     }
 }
 
-impl Default for NetworkShape {
+impl Default for NetworkConfig {
     fn default() -> Self {
-        NetworkShape { same_zone_ms: 0.2, cross_zone_ms: 0.6 }
+        NetworkConfig { same_zone_ms: 0.2, cross_zone_ms: 0.6 }
     }
 }
 
-impl Default for BoardShape {
+impl Default for DiscoveryConfig {
     fn default() -> Self {
-        BoardShape { delay_ms: [200.0, 1500.0], history: 10_000, changes_per_hour: 0.0, changes_per_event: 1 }
+        DiscoveryConfig {
+            delay_ms: [200.0, 1500.0],
+            history: 10_000,
+            changes_per_hour: 0.0,
+            changes_per_event: 1,
+        }
     }
 }
 
-impl FleetSize {
-    /// Front ends that the settings name.
-    pub fn told(&self) -> u32 {
-        self.told_front_ends.unwrap_or(self.front_ends)
+impl FleetConfig {
+    /// Number of front ends that the settings name.
+    pub fn configured(&self) -> u32 {
+        self.configured_front_ends.unwrap_or(self.front_ends)
     }
 }
 
-/// An experiment with the file it came from, for messages.
+/// The text of an experiment file, to report the lines of errors.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct SourceFile {
     path: PathBuf,
     text: String,
 }
 
-impl Source {
-    /// The line, counted from 1, of a key given as `section.key`; the section's own line, or 1, if it is absent.
+impl SourceFile {
+    /// The line, from 1 on, of a key given as `section.key`; if it is absent the section's own line, or 1.
     fn line_of(&self, key: &str) -> usize {
         let (section, name) = key.rsplit_once('.').unwrap_or(("", key));
-        let (mut at, mut here, mut found) = (1, String::new(), None);
+        let (mut section_line, mut current, mut key_line) = (1, String::new(), None);
         for (number, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if line.starts_with('[') {
-                here = line.trim_matches(['[', ']']).trim().to_owned();
-                if here == section {
-                    at = number + 1;
+                current = line.trim_matches(['[', ']']).trim().to_owned();
+                if current == section {
+                    section_line = number + 1;
                 }
-            } else if here == section && line.split('=').next().is_some_and(|k| k.trim() == name) {
-                found = found.or(Some(number + 1));
+            } else if current == section && line.split('=').next().is_some_and(|k| k.trim() == name) {
+                key_line = key_line.or(Some(number + 1));
             }
         }
-        found.unwrap_or(at)
+        key_line.unwrap_or(section_line)
     }
 
     fn error(&self, key: &str, problem: impl Into<String>) -> ExperimentError {
@@ -298,21 +308,21 @@
         ExperimentError::Key { path, line, key: key.to_owned(), problem: problem.into() }
     }
 
-    fn syntax(&self, e: &toml::de::Error) -> ExperimentError {
+    fn syntax_error(&self, e: &toml::de::Error) -> ExperimentError {
         let start = e.span().map_or(0, |s| s.start).min(self.text.len());
         let line = self.text[..start].matches('\n').count() + 1;
         let quoted = e.message().split('`').nth(1).filter(|_| e.message().contains(" field `"));
-        let written = self.text.lines().nth(line - 1).and_then(|l| l.split('=').next()).map(str::trim);
-        let key = quoted.or(written).unwrap_or_default().to_owned();
+        let line_key = self.text.lines().nth(line - 1).and_then(|l| l.split('=').next()).map(str::trim);
+        let key = quoted.or(line_key).unwrap_or_default().to_owned();
         ExperimentError::Key { path: self.path.clone(), line, key, problem: e.message().to_owned() }
     }
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and validates an experiment file.
     ///
     /// # Errors
-    /// Names the line and key of what cannot be used, or the file that cannot be read.
+    /// Fails if the file cannot be read or a key is unknown, missing, or has an invalid value.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ExperimentError::Unreadable { path: path.to_owned(), source })?;
@@ -323,18 +333,18 @@
         Ok(experiment)
     }
 
-    /// Reads and checks the text of a file; `path` is for messages.
+    /// Parses and validates the text of an experiment file; `path` is used in error messages only.
     ///
     /// # Errors
-    /// Names the line and key of what cannot be used.
+    /// Fails if a key is unknown, missing, or has an invalid value.
     pub fn parse(path: &Path, text: String) -> Result<Experiment, ExperimentError> {
-        let source = Source { path: path.to_owned(), text };
-        let experiment: Experiment = toml::from_str(&source.text).map_err(|e| source.syntax(&e))?;
-        experiment.check(&source)?;
+        let source = SourceFile { path: path.to_owned(), text };
+        let experiment: Experiment = toml::from_str(&source.text).map_err(|e| source.syntax_error(&e))?;
+        experiment.validate(&source)?;
         Ok(experiment)
     }
 
-    fn check(&self, source: &Source) -> Result<(), ExperimentError> {
+    fn validate(&self, source: &SourceFile) -> Result<(), ExperimentError> {
         let positive = [
             ("duration_s", self.duration_s),
             ("step_ms", self.step_ms),
@@ -344,11 +354,11 @@
             ("fleet.workers", f64::from(self.fleet.workers)),
             ("workers.cores", f64::from(self.workers.cores)),
             ("workers.loads_at_once", f64::from(self.workers.loads_at_once)),
-            ("workers.most_held", f64::from(self.workers.most_held)),
+            ("workers.most_held", f64::from(self.workers.max_inflight)),
             ("store.fetches_per_s", self.store.fetches_per_s),
             ("functions.count", f64::from(self.functions.count)),
             ("functions.lanes", f64::from(self.functions.lanes)),
-            ("board.changes_per_event", f64::from(self.board.changes_per_event)),
+            ("board.changes_per_event", f64::from(self.discovery.changes_per_event)),
         ];
         if let Some((key, _)) = positive.iter().find(|(_, value)| !(value.is_finite() && *value > 0.0)) {
             return Err(source.error(key, "must be above 0"));
@@ -357,65 +367,65 @@
             ("functions.memory_mb", self.functions.memory_mb),
             ("functions.load_ms", self.functions.load_ms),
             ("functions.work_ms", self.functions.work_ms),
-            ("board.delay_ms", self.board.delay_ms),
+            ("board.delay_ms", self.discovery.delay_ms),
         ];
-        let fits = |[from, to]: [f64; 2]| from >= 0.0 && from <= to && to.is_finite();
-        if let Some((key, _)) = ranges.iter().find(|(_, range)| !fits(*range)) {
-            return Err(source.error(key, "must be [least, most] with 0 <= least <= most"));
+        let valid = |[min, max]: [f64; 2]| min >= 0.0 && min <= max && max.is_finite();
+        if let Some((key, _)) = ranges.iter().find(|(_, range)| !valid(*range)) {
+            return Err(source.error(key, "must be [min, max] with 0 <= min <= max"));
         }
         if !(0.0..self.duration_s).contains(&self.warm_up_s) {
-            return Err(source.error("warm_up_s", "must be 0 or more and below duration_s"));
+            return Err(source.error("warm_up_s", "must be at least 0 and below duration_s"));
         }
         if !(0.0..=1.0).contains(&self.store.fetch_share) {
-            return Err(source.error("store.fetch_share", "must be within 0 and 1"));
+            return Err(source.error("store.fetch_share", "must be between 0 and 1"));
         }
         if !(0.0..=5.0).contains(&self.functions.exponent) {
-            return Err(source.error("functions.exponent", "must be within 0 and 5"));
+            return Err(source.error("functions.exponent", "must be between 0 and 5"));
         }
         if !(0.0..=1e6).contains(&self.calls.per_front_end_s) {
-            return Err(source.error("calls.per_front_end_s", "must be within 0 and 1000000"));
+            return Err(source.error("calls.per_front_end_s", "must be between 0 and 1000000"));
         }
         if self.calls.busiest < 1.0 || self.calls.busiest > f64::from(self.fleet.front_ends).max(1.0) {
-            return Err(source.error("calls.busiest", "must be within 1 and the number of front ends"));
+            return Err(source.error("calls.busiest", "must be between 1 and the number of front ends"));
         }
         if !(0.0..=self.duration_s).contains(&self.calls.ramp_s) {
-            return Err(source.error("calls.ramp_s", "must lie within the run"));
+            return Err(source.error("calls.ramp_s", "must be between 0 and duration_s"));
         }
         let shares = &self.calls.class_shares;
         if shares.is_empty() || shares.iter().any(|s| !(0.0..=1.0).contains(s)) {
-            return Err(source.error("calls.class_shares", "must hold parts within 0 and 1"));
+            return Err(source.error("calls.class_shares", "must be a list of shares between 0 and 1"));
         }
-        if self.fleet.told() < self.fleet.front_ends {
+        if self.fleet.configured() < self.fleet.front_ends {
             return Err(source.error("fleet.told_front_ends", "must not be below fleet.front_ends"));
         }
         if self.fleet.zones < self.fleet.regions {
             return Err(source.error("fleet.zones", "must not be below fleet.regions"));
         }
-        self.failure.iter().try_for_each(|f| self.check_failure(f, source))
+        self.failures.iter().try_for_each(|f| self.validate_failure(f, source))
     }
 
-    fn check_failure(&self, failure: &Failure, source: &Source) -> Result<(), ExperimentError> {
-        let at = |key: &str| format!("failure.{key}");
-        let part = |value: Option<f64>| value.is_some_and(|v| v > 0.0 && v <= 1.0);
+    fn validate_failure(&self, failure: &Failure, source: &SourceFile) -> Result<(), ExperimentError> {
+        let failure_key = |key: &str| format!("failure.{key}");
+        let valid_share = |value: Option<f64>| value.is_some_and(|v| v > 0.0 && v <= 1.0);
         if !(0.0..=self.duration_s).contains(&failure.at_s) {
-            return Err(source.error(&at("at_s"), "must lie within the run"));
+            return Err(source.error(&failure_key("at_s"), "must be between 0 and duration_s"));
         }
-        let lasts = failure.kind != FailureKind::ListChanges;
-        if lasts && !failure.for_s.is_some_and(|f| f.is_finite() && f > 0.0) {
-            return Err(source.error(&at("for_s"), "is needed and must be above 0"));
+        let has_end = failure.kind != FailureKind::ListChanges;
+        if has_end && !failure.for_s.is_some_and(|f| f.is_finite() && f > 0.0) {
+            return Err(source.error(&failure_key("for_s"), "is required and must be above 0"));
         }
         match failure.kind {
-            FailureKind::FrontEndsLost | FailureKind::WorkersLost if !part(failure.share) => {
-                Err(source.error(&at("share"), "is needed, above 0 and at most 1"))
+            FailureKind::FrontEndsLost | FailureKind::WorkersLost if !valid_share(failure.share) => {
+                Err(source.error(&failure_key("share"), "is required, above 0 and at most 1"))
             }
             FailureKind::ZoneLost if failure.zone.is_none_or(|z| z >= self.fleet.zones) => {
-                Err(source.error(&at("zone"), "is needed and must be below fleet.zones"))
+                Err(source.error(&failure_key("zone"), "is required and must be below fleet.zones"))
             }
             FailureKind::BoardCut if failure.region.is_none_or(|r| r >= self.fleet.regions) => {
-                Err(source.error(&at("region"), "is needed and must be below fleet.regions"))
+                Err(source.error(&failure_key("region"), "is required and must be below fleet.regions"))
             }
             FailureKind::ListChanges if failure.count.is_none_or(|c| c == 0 || c > self.fleet.workers) => {
-                Err(source.error(&at("count"), "is needed, above 0 and at most fleet.workers"))
+                Err(source.error(&failure_key("count"), "is required, above 0 and at most fleet.workers"))
             }
             _ => Ok(()),
         }
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -1,14 +1,14 @@
-//! The run of a fleet: steps of the virtual clock, failures, the board, and what is written down of it.
-use super::calls::{CallBook, Times};
-use super::front_end::{Common, FrontEnd, Incoming, Try};
+//! The run of a fleet: steps of the virtual clock, failures, the discovery server, and the report.
+use super::calls::{CallStatistics, DurationHistogram};
+use super::front_end::{ClientCall, CommandCounts, FrontEnd, FrontEndEvent, SharedContext};
 use crate::catalogue::Catalogue;
 use crate::experiment::Experiment;
 use crate::report::{
-    BoardReport, CallReport, ControlReport, FailureReport, FleetReport, Machine, Shape, StateReport,
-    WorkerReport,
+    CallReport, ControlReport, DiscoveryReport, ExperimentSize, FailureReport, FleetReport, Machine,
+    StateReport, WorkerReport,
 };
 use crate::time::{milliseconds, seconds, VirtualClock, SECOND};
-use crate::world::{Change, List, ListEvent, Reply, Schedule, Timed, World};
+use crate::world::{Change, ListEvent, Reply, Schedule, ScheduledChange, WorkerList, World};
 use heronslip::discovery::backoff::Backoff;
 use heronslip::limits::Limits;
 use heronslip_policy::{DiscoveryState, Micros, Settings};
@@ -19,62 +19,70 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The virtual clock's time at the start: any but 0, which the list's form keeps for "long ago".
+/// Start time of the virtual clock. It is not 0, as the worker list uses 0 for "long ago".
 const EPOCH: Micros = 1_000 * SECOND;
-/// How long after the last call the run goes on, so that all calls end.
-const AFTER: Micros = 10 * SECOND;
-/// Descriptor and memory limits of a front end, for the times that its program works out from them.
-const LIMITS: (u64, u64) = (192, 1_024);
-/// Width of the buckets in which the board's load is counted.
+/// How long the run continues after the last call, so that all calls end.
+const DRAIN_TIME: Micros = 10 * SECOND;
+/// Memory limit of a front end in MB, from which its program derives its limits.
+const MEMORY_LIMIT_MB: u64 = 192;
+/// Descriptor limit of a front end, from which its program derives its limits.
+const DESCRIPTOR_LIMIT: u64 = 1_024;
+/// Width of the time buckets in which requests to the discovery server are counted.
 const BUCKET: Micros = 100_000;
-/// Bytes of an order's or a question's frame and its answer, by the wire's form.
-const ORDER_BYTES: u64 = 52 + 30;
-/// Bytes of the frame of an order to unload.
-const UNLOAD_BYTES: u64 = 20;
-/// Bytes of the board's comment each second.
+/// Bytes of the frame of a load command or copy query, and of the reply to it.
+const LOAD_COMMAND_BYTES: u64 = 52 + 30;
+/// Bytes of the frame of an unload command.
+const UNLOAD_COMMAND_BYTES: u64 = 20;
+/// Bytes of the comment that the discovery server sends each second.
 const COMMENT_BYTES: u64 = 3;
-/// Bytes of a call to the board with its answer's head.
-const BOARD_CALL_BYTES: u64 = 220;
+/// Bytes of a request to the discovery server and of the head of its response.
+const DISCOVERY_REQUEST_BYTES: u64 = 220;
 
 /// Runs an experiment on the virtual clock.
 pub fn run(experiment: &Experiment, settings: Settings) -> FleetReport {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut engine = Engine::new(experiment, settings);
     engine.run();
-    engine.report(began)
+    engine.report(started)
 }
 
-/// One change of the list on its way to all front ends.
-struct Spread {
+/// A change of the worker list on its way to the front ends.
+struct Propagation {
     at: Micros,
-    waiting: usize,
-    last: Micros,
+    /// Front ends that have not applied it.
+    pending: usize,
+    /// When a front end last applied it.
+    last_applied: Micros,
 }
 
-/// How a front end stands with the board.
+/// A front end's subscription to the discovery server.
 #[derive(Clone, Copy, Default)]
-struct Watch {
-    /// Since when it hears nothing of the board.
-    cut: Option<Micros>,
-    /// The number of the last event on its way to it or there.
-    told: u64,
-    /// When that arrives.
-    last_at: Micros,
+struct Subscription {
+    /// When it was cut off, while it is.
+    cut_at: Option<Micros>,
+    /// The number of the last event sent to it.
+    last_sent: u64,
+    /// When that event arrives.
+    last_arrival: Micros,
 }
 
-/// What the board was asked for and told.
+/// Load of the discovery server.
 #[derive(Default)]
-struct BoardLoad {
-    calls: BTreeMap<Micros, u64>,
+struct DiscoveryLoad {
+    /// Requests by time bucket.
+    requests: BTreeMap<Micros, u64>,
+    /// Bytes of requests and responses by time bucket.
     bytes: BTreeMap<Micros, u64>,
+    /// Reconnects that got the whole list.
     whole_lists: u64,
+    /// Reconnects that got the missed events only.
     resumed: u64,
 }
 
-impl BoardLoad {
-    fn called(&mut self, at: Micros, bytes: u64) {
-        *self.calls.entry(at / BUCKET).or_default() += 1;
-        *self.bytes.entry(at / BUCKET).or_default() += bytes + BOARD_CALL_BYTES;
+impl DiscoveryLoad {
+    fn add_request(&mut self, at: Micros, response_bytes: u64) {
+        *self.requests.entry(at / BUCKET).or_default() += 1;
+        *self.bytes.entry(at / BUCKET).or_default() += response_bytes + DISCOVERY_REQUEST_BYTES;
     }
 }
 
@@ -83,22 +91,26 @@
     settings: Arc<Settings>,
     clock: VirtualClock,
     random: Pcg64,
-    common: Common,
+    shared: SharedContext,
     front_ends: Vec<FrontEnd>,
-    watches: Vec<Watch>,
+    subscriptions: Vec<Subscription>,
     world: World,
-    list: List,
+    list: WorkerList,
     schedule: Schedule,
-    spreads: BTreeMap<u64, Spread>,
-    known: Times,
-    book: CallBook,
-    board: BoardLoad,
+    /// Changes of the list that some front end has not applied, by event number.
+    propagations: BTreeMap<u64, Propagation>,
+    /// Times from a change of the list until the last front end has applied it.
+    propagation_times: DurationHistogram,
+    calls: CallStatistics,
+    discovery: DiscoveryLoad,
+    /// Bytes of the list changes sent to front ends.
     list_bytes: u64,
-    /// Calls of the board that came to nothing.
-    failed_calls: u64,
-    /// Times from a heal of the board's link until a front end is connected again.
-    heals: Times,
-    most_connections: Vec<u32>,
+    /// Failed requests to the discovery server.
+    failed_requests: u64,
+    /// Times from the end of a cut until a front end is connected to the discovery server again.
+    reconnect_times: DurationHistogram,
+    /// Front ends connected to each worker when the calls end.
+    connections: Vec<u32>,
 }
 
 impl<'a> Engine<'a> {
@@ -106,36 +118,36 @@
         let catalogue = Arc::new(Catalogue::new(experiment));
         let ranks = catalogue.functions.iter().enumerate().map(|(rank, f)| (f.id, rank)).collect();
         let settings = Arc::new(settings);
-        let common = Common {
+        let shared = SharedContext {
             settings: settings.clone(),
             catalogue: catalogue.clone(),
             ranks: Arc::new(ranks),
             front_ends: experiment.fleet.front_ends,
-            retries: experiment.calls.retries,
+            max_retries: experiment.calls.retries,
             ramp: seconds(experiment.calls.ramp_s),
             seed: experiment.seed,
         };
         let count = experiment.fleet.front_ends as usize;
-        let front_end = |n| FrontEnd::new(n, rate(experiment, n), &common);
+        let front_end = |n| FrontEnd::new(n, calls_per_second(experiment, n), &shared);
         Engine {
             front_ends: (0..count).map(front_end).collect(),
-            watches: vec![Watch::default(); count],
+            subscriptions: vec![Subscription::default(); count],
             world: World::new(experiment, &settings, catalogue),
-            list: List::new(experiment, settings.kind_memory_mb.len()),
+            list: WorkerList::new(experiment, settings.kind_memory_mb.len()),
             schedule: Schedule::new(experiment),
-            book: CallBook::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
+            calls: CallStatistics::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
             random: Pcg64::seed_from_u64(experiment.seed ^ 0x656e_6769_6e65),
-            spreads: BTreeMap::new(),
-            known: Times::default(),
-            board: BoardLoad::default(),
+            propagations: BTreeMap::new(),
+            propagation_times: DurationHistogram::default(),
+            discovery: DiscoveryLoad::default(),
             list_bytes: 0,
-            failed_calls: 0,
-            heals: Times::default(),
-            most_connections: Vec::new(),
+            failed_requests: 0,
+            reconnect_times: DurationHistogram::default(),
+            connections: Vec::new(),
             experiment,
             settings,
-            common,
+            shared,
         }
     }
 
@@ -143,268 +155,282 @@
         let all: Vec<usize> = (0..self.front_ends.len()).collect();
         self.start_front_ends(EPOCH, &all);
         for front_end in &mut self.front_ends {
-            front_end.open_for_clients(EPOCH);
+            front_end.start_calls(EPOCH);
         }
         let end = EPOCH + seconds(self.experiment.duration_s);
         while self.clock.now() < end {
             self.step();
         }
         self.count_connections();
-        self.front_ends.iter_mut().for_each(FrontEnd::close_to_clients);
-        while self.clock.now() < end + AFTER {
+        self.front_ends.iter_mut().for_each(FrontEnd::stop_calls);
+        while self.clock.now() < end + DRAIN_TIME {
             self.step();
         }
     }
 
     fn step(&mut self) {
         let now = self.clock.advance();
-        while let Some(timed) = self.schedule.due(now - EPOCH) {
-            self.change(now, timed);
+        while let Some(scheduled) = self.schedule.pop_due(now - EPOCH) {
+            self.apply(now, scheduled);
         }
         for (at, worker, reply) in self.world.advance(now) {
             self.deliver(at, worker, reply);
         }
-        self.front_ends.par_iter_mut().for_each(|f| f.run(now));
+        self.front_ends.par_iter_mut().for_each(|f| f.run_until(now));
         self.collect(now);
     }
 
-    /// Takes what front ends did, in their order.
+    /// Collects the front ends' output of the step, in the order of their numbers.
     fn collect(&mut self, now: Micros) {
-        let mut elsewhere = Vec::new();
+        let mut undelivered = Vec::new();
         for n in 0..self.front_ends.len() {
-            let done = self.front_ends[n].done();
-            for (at, worker, command) in done.commands {
-                let arrives = (at + self.way(n, worker)).max(now);
-                self.world.command(arrives, worker, command);
+            let output = self.front_ends[n].take_output();
+            for (at, worker, command) in output.commands {
+                let arrival = (at + self.latency(n, worker)).max(now);
+                self.world.command(arrival, worker, command);
             }
-            done.calls.iter().for_each(|call| self.book.add(call));
-            done.known.into_iter().for_each(|(number, at)| self.told(number, at));
-            elsewhere.extend(done.turned_elsewhere.into_iter().map(|(at, call)| (n, at, call)));
+            output.ended_calls.iter().for_each(|call| self.calls.add(call));
+            output.applied_events.into_iter().for_each(|(number, at)| self.event_applied(number, at));
+            undelivered.extend(output.undelivered_calls.into_iter().map(|(at, call)| (n, at, call)));
         }
-        elsewhere.into_iter().for_each(|(n, at, call)| self.send_elsewhere(n, at, call));
+        undelivered.into_iter().for_each(|(n, at, call)| self.redirect(n, at, call));
     }
 
-    /// The way of a message between a front end and a worker.
-    fn way(&self, front_end: usize, worker: usize) -> Micros {
-        let same = front_end % self.experiment.fleet.zones as usize == self.list.zone(worker);
+    /// One-way latency between a front end and a worker.
+    fn latency(&self, front_end: usize, worker: usize) -> Micros {
+        let same_zone = front_end % self.experiment.fleet.zones as usize == self.list.zone(worker);
         let network = &self.experiment.network;
-        milliseconds(if same { network.same_zone_ms } else { network.cross_zone_ms })
+        milliseconds(if same_zone { network.same_zone_ms } else { network.cross_zone_ms })
     }
 
+    /// Schedules the arrival of a worker's reply at its front end.
     fn deliver(&mut self, at: Micros, worker: usize, reply: Reply) {
         let front_end = match reply {
-            Reply::Ended { call, .. } => call.front_end,
-            Reply::Held { front_end, .. } | Reply::Probed { front_end, .. } => front_end,
+            Reply::CallEnded { call, .. } => call.front_end,
+            Reply::LoadEnded { front_end, .. } | Reply::ProbeEnded { front_end, .. } => front_end,
         };
-        let arrives = at + self.way(front_end, worker);
-        self.front_ends[front_end].put(arrives, Incoming::Reply(reply));
+        let arrival = at + self.latency(front_end, worker);
+        self.front_ends[front_end].schedule(arrival, FrontEndEvent::Reply(reply));
     }
 
-    /// A client whose front end is down goes to the next one that is up.
-    fn send_elsewhere(&mut self, from: usize, at: Micros, call: Try) {
+    /// Sends a call whose front end is down to the next front end that is up, or has its client retry later.
+    fn redirect(&mut self, from: usize, at: Micros, call: ClientCall) {
         let count = self.front_ends.len();
         let up = (1..count).map(|step| (from + step) % count).find(|&n| self.front_ends[n].is_up());
         match up {
-            Some(n) => self.front_ends[n].put(at + milliseconds(1.0), Incoming::Again(call)),
-            None => self.front_ends[from].put(at + SECOND, Incoming::Again(call)),
+            Some(n) => self.front_ends[n].schedule(at + milliseconds(1.0), FrontEndEvent::Retry(call)),
+            None => self.front_ends[from].schedule(at + SECOND, FrontEndEvent::Retry(call)),
         }
     }
 
-    fn start_front_ends(&mut self, now: Micros, which: &[usize]) {
-        let list = Arc::new(self.list.whole());
-        for &n in which {
-            self.front_ends[n].start(now, self.list.last(), list.clone());
-            self.watches[n] = Watch { told: self.list.last(), last_at: now, ..self.watches[n] };
-            // What a process is told at its start comes with its configuration, not from the board.
-            self.board.called(now, 0);
+    fn start_front_ends(&mut self, now: Micros, front_ends: &[usize]) {
+        let list = Arc::new(self.list.snapshot());
+        for &n in front_ends {
+            self.front_ends[n].start(now, self.list.last_event(), list.clone());
+            self.subscriptions[n] = Subscription {
+                last_sent: self.list.last_event(),
+                last_arrival: now,
+                ..self.subscriptions[n]
+            };
+            // A process gets its first list with its configuration, so the discovery server sends it none.
+            self.discovery.add_request(now, 0);
         }
     }
 
-    fn change(&mut self, now: Micros, timed: Timed) {
-        match timed.change {
-            Change::FrontEndsStop(which) => {
-                for n in which {
+    fn apply(&mut self, now: Micros, scheduled: ScheduledChange) {
+        match scheduled.change {
+            Change::FrontEndsStop(front_ends) => {
+                for n in front_ends {
                     self.front_ends[n].stop(now);
-                    self.forget_told(n);
+                    self.drop_events_in_flight(n);
                 }
             }
-            Change::FrontEndsStart(which) => self.start_front_ends(now, &which),
-            Change::WorkersStop(which) => {
-                which.iter().for_each(|&w| self.world.stop(now, w));
-                let event = self.list.gone(now, &which);
-                self.tell(now, &event);
+            Change::FrontEndsStart(front_ends) => self.start_front_ends(now, &front_ends),
+            Change::WorkersStop(workers) => {
+                workers.iter().for_each(|&w| self.world.stop(now, w));
+                let event = self.list.mark_gone(now, &workers);
+                self.send_event(now, &event);
             }
-            Change::WorkersStart(which) => {
-                which.iter().for_each(|&w| self.world.start(w));
-                let event = self.list.back(now, &which);
-                self.tell(now, &event);
+            Change::WorkersStart(workers) => {
+                workers.iter().for_each(|&w| self.world.start(w));
+                let event = self.list.mark_ready(now, &workers);
+                self.send_event(now, &event);
             }
-            Change::WorkersReplaced(which) => {
-                for &w in &which {
+            Change::WorkersReplaced(workers) => {
+                for &w in &workers {
                     self.world.stop(now, w);
                     self.world.start(w);
                 }
-                let event = self.list.replaced(now, &which);
-                self.tell(now, &event);
+                let event = self.list.replace(now, &workers);
+                self.send_event(now, &event);
+            }
+            Change::DiscoveryCut(front_ends) => front_ends.into_iter().for_each(|n| self.cut(now, n)),
+            Change::DiscoveryRestored(front_ends) => {
+                front_ends.into_iter().for_each(|n| self.restore(now, n))
             }
-            Change::BoardCut(which) => which.into_iter().for_each(|n| self.cut(now, n)),
-            Change::BoardHealed(which) => which.into_iter().for_each(|n| self.heal(now, n)),
         }
     }
 
-    /// Tells an event to all front ends that watch, each late by a time of its own and in order.
-    fn tell(&mut self, now: Micros, event: &Arc<ListEvent>) {
-        let [least, most] = self.experiment.board.delay_ms;
-        let mut waiting = 0;
+    /// Sends an event to all subscribed front ends, each with a random delay, but in the order of the events.
+    fn send_event(&mut self, now: Micros, event: &Arc<ListEvent>) {
+        let [min, max] = self.experiment.discovery.delay_ms;
+        let mut pending = 0;
         for n in 0..self.front_ends.len() {
-            let late = milliseconds(least + (most - least) * self.random.random::<f64>());
-            let watch = &mut self.watches[n];
-            if watch.cut.is_some() || !self.front_ends[n].is_up() {
+            let delay = milliseconds(min + (max - min) * self.random.random::<f64>());
+            let subscription = &mut self.subscriptions[n];
+            if subscription.cut_at.is_some() || !self.front_ends[n].is_up() {
                 continue;
             }
-            watch.last_at = watch.last_at.max(now + late);
-            watch.told = event.number;
-            waiting += 1;
+            subscription.last_arrival = subscription.last_arrival.max(now + delay);
+            subscription.last_sent = event.number;
+            pending += 1;
             self.list_bytes += event.bytes() as u64;
-            self.front_ends[n].put(watch.last_at, Incoming::List(event.clone()));
+            self.front_ends[n].schedule(subscription.last_arrival, FrontEndEvent::ListChange(event.clone()));
         }
-        self.spreads.insert(event.number, Spread { at: event.at, waiting, last: now });
+        self.propagations.insert(event.number, Propagation { at: event.at, pending, last_applied: now });
     }
 
-    fn told(&mut self, number: u64, at: Micros) {
-        let Some(spread) = self.spreads.get_mut(&number) else { return };
-        spread.last = spread.last.max(at);
-        spread.waiting = spread.waiting.saturating_sub(1);
-        if spread.waiting == 0 {
-            let took = spread.last - spread.at;
-            self.spreads.remove(&number);
-            self.known.add(took);
+    /// Notes that one more front end has applied an event, or no longer will.
+    fn event_applied(&mut self, number: u64, at: Micros) {
+        let Some(propagation) = self.propagations.get_mut(&number) else { return };
+        propagation.last_applied = propagation.last_applied.max(at);
+        propagation.pending = propagation.pending.saturating_sub(1);
+        if propagation.pending == 0 {
+            let duration = propagation.last_applied - propagation.at;
+            self.propagations.remove(&number);
+            self.propagation_times.add(duration);
         }
     }
 
-    /// A front end that ended will not come to know what was on its way to it.
-    fn forget_told(&mut self, n: usize) {
-        let (told, last_at) = (self.watches[n].told, self.watches[n].last_at);
-        if last_at <= self.clock.now() {
+    /// Stops waiting for a front end that ended to apply the events on their way to it.
+    fn drop_events_in_flight(&mut self, n: usize) {
+        let Subscription { last_sent, last_arrival, .. } = self.subscriptions[n];
+        if last_arrival <= self.clock.now() {
             return;
         }
-        let open: Vec<u64> = self.spreads.range(..=told).map(|(&number, _)| number).collect();
-        open.into_iter().for_each(|number| self.told(number, self.clock.now()));
+        let open: Vec<u64> = self.propagations.range(..=last_sent).map(|(&number, _)| number).collect();
+        open.into_iter().for_each(|number| self.event_applied(number, self.clock.now()));
     }
 
-    /// The board falls silent: the front end's program gives its connection up when it has heard nothing for long.
+    /// Cuts a front end off from the discovery server. Its program closes the connection after the silence timeout.
     fn cut(&mut self, now: Micros, n: usize) {
-        self.watches[n].cut = Some(now);
-        let limits = Limits::new(LIMITS.0, LIMITS.1, &self.settings);
+        self.subscriptions[n].cut_at = Some(now);
+        let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let lost = now + limits.board_silence.as_micros() as Micros;
-        self.front_ends[n].put(lost, Incoming::Discovery(DiscoveryState::Lost));
+        self.front_ends[n].schedule(lost, FrontEndEvent::Discovery(DiscoveryState::Lost));
     }
 
-    /// The board can be reached again: the front end calls it at its next try and is told what it missed.
-    fn heal(&mut self, now: Micros, n: usize) {
-        let cut = self.watches[n].cut.take();
+    /// Ends a cut: the front end reconnects with its next request and gets the events it missed, or the whole list.
+    fn restore(&mut self, now: Micros, n: usize) {
+        let cut_at = self.subscriptions[n].cut_at.take();
         if !self.front_ends[n].is_up() {
             return;
         }
-        let back = self.next_call(n, cut.unwrap_or(now), now);
-        let watch = self.watches[n];
-        match self.list.since(watch.told) {
+        let reconnected = self.reconnect_time(n, cut_at.unwrap_or(now), now);
+        let subscription = self.subscriptions[n];
+        match self.list.events_after(subscription.last_sent) {
             Some(missed) => {
-                self.board.resumed += 1;
+                self.discovery.resumed += 1;
                 let bytes: usize = missed.iter().map(|e| e.bytes()).sum();
-                self.board.called(back, bytes as u64);
-                missed.into_iter().for_each(|e| self.front_ends[n].put(back, Incoming::List(e)));
+                self.discovery.add_request(reconnected, bytes as u64);
+                missed
+                    .into_iter()
+                    .for_each(|e| self.front_ends[n].schedule(reconnected, FrontEndEvent::ListChange(e)));
             }
             None => {
-                self.board.whole_lists += 1;
-                self.board.called(back, self.list.whole_bytes() as u64);
-                let whole = Arc::new(self.list.whole());
-                self.front_ends[n].put(back, Incoming::Whole(self.list.last(), whole));
+                self.discovery.whole_lists += 1;
+                self.discovery.add_request(reconnected, self.list.snapshot_bytes() as u64);
+                let whole = Arc::new(self.list.snapshot());
+                self.front_ends[n]
+                    .schedule(reconnected, FrontEndEvent::ListSnapshot(self.list.last_event(), whole));
             }
         }
-        self.front_ends[n].put(back, Incoming::Discovery(DiscoveryState::Current));
-        self.watches[n] = Watch { cut: None, told: self.list.last(), last_at: back };
-        self.heals.add(back.saturating_sub(now));
+        self.front_ends[n].schedule(reconnected, FrontEndEvent::Discovery(DiscoveryState::Current));
+        self.subscriptions[n] =
+            Subscription { cut_at: None, last_sent: self.list.last_event(), last_arrival: reconnected };
+        self.reconnect_times.add(reconnected.saturating_sub(now));
     }
 
-    /// When a front end that was cut off calls the board for the first time after the heal: its program notices the
-    /// silence, and calls that hang until the program gives each up, with the program's own waits between them.
-    fn next_call(&mut self, n: usize, cut: Micros, heal: Micros) -> Micros {
-        let limits = Limits::new(LIMITS.0, LIMITS.1, &self.settings);
+    /// When a front end that was cut off reconnects after the cut has ended. Once its program notices the silence, it
+    /// sends requests that hang until they time out, with the program's own backoff between them.
+    fn reconnect_time(&mut self, n: usize, cut_at: Micros, restored_at: Micros) -> Micros {
+        let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
         let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, self.random.random());
-        let hangs = micros(limits.connect.min(limits.board_silence / 2));
-        // Where in the board's comments the cut came is chance.
-        let mut at = cut + micros(limits.board_silence) - self.random.random_range(0..SECOND);
-        while at < heal {
-            self.failed_calls += 1;
-            // One that hangs over the heal does too: its first packet is lost, and it ends before the next.
-            at += hangs + micros(backoff.wait());
+        let request_timeout = micros(limits.connect.min(limits.board_silence / 2));
+        // The cut begins at a random time between two of the discovery server's comments.
+        let mut at = cut_at + micros(limits.board_silence) - self.random.random_range(0..SECOND);
+        while at < restored_at {
+            self.failed_requests += 1;
+            // A request that is open when the cut ends times out too: its first packet is lost, and it ends before
+            // the packet is sent again.
+            at += request_timeout + micros(backoff.wait());
         }
-        at + 2 * self.way(n, 0)
+        at + 2 * self.latency(n, 0)
     }
 
-    /// Front ends connected to each worker: those that sent it something within the idle time of connections.
+    /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout of
+    /// connections.
     fn count_connections(&mut self) {
         let idle = self.settings.connection_idle;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
-        let mut at = vec![0u32; self.experiment.fleet.workers as usize];
+        let mut connections = vec![0u32; self.experiment.fleet.workers as usize];
         for front_end in &self.front_ends {
-            front_end.connected_since(since).for_each(|worker| at[worker] += 1);
+            front_end.contacted_since(since).for_each(|worker| connections[worker] += 1);
         }
-        self.most_connections = at;
+        self.connections = connections;
     }
 
-    /// When the failure after this time begins, or the run's last whole second ends.
+    /// When the next failure after this time begins; without one, a second before the end of the run.
     fn next_failure(&self, at_s: f64) -> f64 {
-        let later = self.experiment.failure.iter().map(|f| f.at_s).filter(|&at| at > at_s);
+        let later = self.experiment.failures.iter().map(|f| f.at_s).filter(|&at| at > at_s);
         later.fold(self.experiment.duration_s - 1.0, f64::min)
     }
 
-    fn report(&mut self, began: Instant) -> FleetReport {
+    fn report(&mut self, started: Instant) -> FleetReport {
         let experiment = self.experiment;
-        let span = experiment.duration_s;
         let counts = self.world.counts();
         let front_ends = f64::from(experiment.fleet.front_ends);
-        let each = |n: u64| n as f64 / front_ends / span;
-        let orders: (u64, u64, u64) = self
-            .front_ends
-            .iter()
-            .map(FrontEnd::orders)
-            .fold((0, 0, 0), |sum, o| (sum.0 + o.holds, sum.1 + o.questions, sum.2 + o.unloads));
-        let probes = self.front_ends.iter().map(|front_end| front_end.orders().probes).sum();
+        let per_front_end_s = |n: u64| n as f64 / front_ends / experiment.duration_s;
+        let commands = |of: &dyn Fn(&CommandCounts) -> u64| -> u64 {
+            self.front_ends.iter().map(|front_end| of(&front_end.command_counts())).sum()
+        };
+        let loads = commands(&|c| c.loads);
+        let copy_queries = commands(&|c| c.copy_queries);
+        let unloads = commands(&|c| c.unloads);
+        let probes = commands(&|c| c.probes);
         let footprints: Vec<_> = self.front_ends.iter().map(FrontEnd::footprint).collect();
         let mean = |of: &dyn Fn(&heronslip_policy::Footprint) -> usize| {
             footprints.iter().map(of).sum::<usize>() / footprints.len().max(1)
         };
-        let failures = experiment.failure.iter().enumerate().map(|(n, f)| FailureReport {
+        let failures = experiment.failures.iter().enumerate().map(|(n, f)| FailureReport {
             kind: format!("{:?}", f.kind),
             at_s: f.at_s,
             for_s: f.for_s,
-            least_in_time: self.book.least_in_time(seconds(f.at_s), seconds(self.next_failure(f.at_s))),
-            recovered_after_s: self.book.recovery(seconds(f.at_s), seconds(self.next_failure(f.at_s))),
-            number: n,
+            min_in_time_share: self
+                .calls
+                .min_in_time_share(seconds(f.at_s), seconds(self.next_failure(f.at_s))),
+            recovered_after_s: self.calls.recovery_time(seconds(f.at_s), seconds(self.next_failure(f.at_s))),
+            index: n,
         });
-        let connected: u32 = self.most_connections.iter().sum();
-        let mut sorted = self.most_connections.clone();
-        sorted.sort_unstable();
-        let total = f64::from(experiment.fleet.told()) * experiment.calls.per_front_end_s;
+        let total_connections: u32 = self.connections.iter().sum();
+        let total_calls_s = f64::from(experiment.fleet.configured()) * experiment.calls.per_front_end_s;
         FleetReport {
-            shape: Shape::of(experiment, self.common.catalogue.rare(total)),
+            size: ExperimentSize::of(experiment, self.shared.catalogue.rare_share(total_calls_s)),
             calls: CallReport {
-                counts: self.book.counts(),
-                latency: self.book.latency().quantiles(),
-                cold_start: self.book.cold_start().quantiles(),
-                cold_within_1500_ms: self.book.cold_start().within(milliseconds(1_500.0)),
+                counts: self.calls.counts(),
+                latency: self.calls.latency().quantiles(),
+                cold_start: self.calls.cold_start().quantiles(),
+                cold_within_1500_ms: self.calls.cold_start().share_within(milliseconds(1_500.0)),
             },
             control: ControlReport {
-                list_bytes_s: each(self.list_bytes) + COMMENT_BYTES as f64,
-                hold_bytes_s: each(orders.0 * ORDER_BYTES + orders.2 * UNLOAD_BYTES),
-                question_bytes_s: each(orders.1 * ORDER_BYTES),
-                holds_s: each(orders.0),
-                questions_s: each(orders.1),
-                probes_s: each(probes),
-                unloads_s: each(orders.2),
+                list_bytes_s: per_front_end_s(self.list_bytes) + COMMENT_BYTES as f64,
+                load_bytes_s: per_front_end_s(loads * LOAD_COMMAND_BYTES + unloads * UNLOAD_COMMAND_BYTES),
+                query_bytes_s: per_front_end_s(copy_queries * LOAD_COMMAND_BYTES),
+                loads_s: per_front_end_s(loads),
+                copy_queries_s: per_front_end_s(copy_queries),
+                probes_s: per_front_end_s(probes),
+                unloads_s: per_front_end_s(unloads),
             },
             workers: WorkerReport {
                 loads: counts.loads,
@@ -412,19 +438,19 @@
                 evicted: counts.evicted,
                 calls: counts.calls,
                 fetches: self.world.store().fetches,
-                fetches_turned_away: self.world.store().turned_away,
-                connections_of_a_front_end: f64::from(connected) / front_ends,
-                connections_of_a_worker: f64::from(connected) / self.most_connections.len() as f64,
-                most_connections_of_a_worker: sorted.last().copied().unwrap_or(0),
+                rejected_fetches: self.world.store().rejected_fetches,
+                connections_per_front_end: f64::from(total_connections) / front_ends,
+                connections_per_worker: f64::from(total_connections) / self.connections.len() as f64,
+                max_connections_per_worker: self.connections.iter().max().copied().unwrap_or(0),
             },
-            board: BoardReport {
-                known_everywhere: self.known.quantiles(),
-                reconnected: self.heals.quantiles(),
-                failed_calls: self.failed_calls,
-                resumed: self.board.resumed,
-                whole_lists: self.board.whole_lists,
-                peak_calls_s: peak(&self.board.calls),
-                peak_bytes_s: peak(&self.board.bytes),
+            discovery: DiscoveryReport {
+                propagation: self.propagation_times.quantiles(),
+                reconnect: self.reconnect_times.quantiles(),
+                failed_requests: self.failed_requests,
+                resumed: self.discovery.resumed,
+                whole_lists: self.discovery.whole_lists,
+                peak_requests_s: peak_per_second(&self.discovery.requests),
+                peak_bytes_s: peak_per_second(&self.discovery.bytes),
             },
             state: StateReport {
                 workers: mean(&|f| f.workers),
@@ -434,19 +460,20 @@
                 bytes: mean(&|f| f.bytes()),
             },
             failures: failures.collect(),
-            machine: Machine::measure(began),
+            machine: Machine::measure(started),
         }
     }
 }
 
-fn peak(buckets: &BTreeMap<Micros, u64>) -> u64 {
-    // The start of all front ends is no reconnect: it has a bucket of its own.
+/// The largest bucket after the start of the run, as a rate per second.
+fn peak_per_second(buckets: &BTreeMap<Micros, u64>) -> u64 {
+    // The first bucket holds the start of all front ends, which is no reconnect.
     let first = EPOCH / BUCKET;
     buckets.iter().filter(|(&at, _)| at > first).map(|(_, &n)| n).max().unwrap_or(0) * (SECOND / BUCKET)
 }
 
-/// Calls a second at one front end: the first is the busiest, the others share the rest evenly.
-fn rate(experiment: &Experiment, front_end: usize) -> f64 {
+/// Calls per second at a front end: the first is the busiest, the others share the rest evenly.
+fn calls_per_second(experiment: &Experiment, front_end: usize) -> f64 {
     let (mean, count) = (experiment.calls.per_front_end_s, f64::from(experiment.fleet.front_ends));
     let busiest = experiment.calls.busiest;
     if front_end == 0 || count < 2.0 {
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -1,8 +1,8 @@
-//! One hollow front end: the real decision module, with stubs for its sockets and clients.
-use super::calls::{CallRecord, End};
+//! A simulated front end: the real controller of `heronslip-policy`, with simulated sockets and clients.
+use super::calls::{CallOutcome, CallRecord};
 use crate::catalogue::Catalogue;
 use crate::time::{milliseconds, SECOND};
-use crate::world::{worker_number, CallOut, Command, ListEvent, Reply};
+use crate::world::{worker_number, Command, ListEvent, Reply, WorkerCall};
 use heronslip_policy::{
     Action, Controller, DiscoveryState, Entry, Event, Footprint, Micros, Outcome, Settings,
 };
@@ -12,226 +12,241 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-/// A client that is refused and told no time waits this long before its next try.
-const CLIENT_WAIT_MS: f64 = 100.0;
-/// An order to load that is answered within this found the copy standing: the call that waited for it was not cold.
-const FOUND_STANDING: Micros = 20_000;
-/// What a client waits where its class states no time.
-const DEFAULT_GIVE_UP: Micros = 3 * SECOND;
+/// Wait of a client before its next retry, where a refusal states none.
+const DEFAULT_RETRY_WAIT_MS: f64 = 100.0;
+/// A call that started within this time of its arrival, after a load command, found the copy already loaded and does
+/// not count as cold.
+const ALREADY_LOADED_WITHIN: Micros = 20_000;
+/// Timeout of a client whose class states none.
+const DEFAULT_CLIENT_TIMEOUT: Micros = 3 * SECOND;
 
-/// What comes to a front end.
+/// An event at a front end.
 #[derive(Debug)]
-pub enum Incoming {
-    /// A worker's reply.
+pub enum FrontEndEvent {
+    /// A worker's reply arrives.
     Reply(Reply),
-    /// An event of the board.
-    List(Arc<ListEvent>),
-    /// The program's word on the board.
+    /// The discovery server sends a change of the worker list.
+    ListChange(Arc<ListEvent>),
+    /// The state of the connection to the discovery server changes.
     Discovery(DiscoveryState),
-    /// The board's whole list, as it stood at an event's number.
-    Whole(u64, Arc<Vec<Entry>>),
-    /// A call that a client sends again, or that its own front end did not take.
-    Again(Try),
-    /// The next call of its own clients.
-    Arrival,
-    /// A timer of the module.
+    /// The discovery server sends the whole worker list, as of the event of this number.
+    ListSnapshot(u64, Arc<Vec<Entry>>),
+    /// A client retries a call, or sends it here because its own front end is down.
+    Retry(ClientCall),
+    /// The front end's own clients make their next call.
+    NextCall,
+    /// A timer of the controller fires.
     Timer(u64),
-    /// An attempt's time is up.
-    AttemptDue(u64, usize),
-    /// A client leaves.
-    ClientLeaves(u64),
+    /// An attempt of a request times out.
+    AttemptTimeout(u64, usize),
+    /// The client of a request stops waiting.
+    ClientTimeout(u64),
 }
 
-/// One try of a call.
+/// A call as its client sends it.
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub struct ClientCall {
     /// The function's rank.
     pub rank: usize,
     /// When the client first sent it.
-    pub asked: Micros,
-    /// Tries before this one.
-    pub before: u32,
+    pub sent: Micros,
+    /// Retries so far.
+    pub retries: u32,
 }
 
 /// What a front end did in a step.
 #[derive(Debug, Default)]
-pub struct Done {
-    /// Commands with the time at which each left, and the worker.
+pub struct StepOutput {
+    /// Commands, each with the time at which it was sent and the worker.
     pub commands: Vec<(Micros, usize, Command)>,
     /// Calls that ended.
-    pub calls: Vec<CallRecord>,
-    /// Events of the board that came into force.
-    pub known: Vec<(u64, Micros)>,
-    /// Calls that found this front end down.
-    pub turned_elsewhere: Vec<(Micros, Try)>,
+    pub ended_calls: Vec<CallRecord>,
+    /// Numbers of the discovery events that were applied, each with its time.
+    pub applied_events: Vec<(u64, Micros)>,
+    /// Calls that arrived while this front end was down.
+    pub undelivered_calls: Vec<(Micros, ClientCall)>,
 }
 
-/// Orders sent, by kind.
+/// Commands sent, by kind.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderCounts {
-    /// Orders to hold copies.
-    pub holds: u64,
-    /// Questions.
-    pub questions: u64,
-    /// Orders to unload.
+pub struct CommandCounts {
+    /// Load commands.
+    pub loads: u64,
+    /// Copy queries.
+    pub copy_queries: u64,
+    /// Unload commands.
     pub unloads: u64,
     /// Probes.
     pub probes: u64,
 }
 
-struct Queued {
+/// An event in the queue of a front end, ordered by time, then by the order in which it was scheduled.
+struct QueuedEvent {
     at: Micros,
     sequence: u64,
-    what: Incoming,
+    event: FrontEndEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
+/// An attempt of a request.
 struct Attempt {
     worker: usize,
     sent: Micros,
+    /// Whether its end is still awaited.
     open: bool,
 }
 
-struct Open {
-    call: Try,
+/// A request that is not done yet.
+struct OpenRequest {
+    call: ClientCall,
     class: usize,
     arrived: Micros,
-    answered: bool,
-    /// An order to load was given while it waited for its first attempt.
+    /// Whether the client has its response or stopped waiting.
+    closed: bool,
+    /// Whether a load command was sent while the request waited for its first attempt.
     awaits_load: bool,
     attempts: Vec<Attempt>,
 }
 
-/// A hollow front end.
+/// A load command whose reply is awaited.
+struct OpenLoad {
+    worker: String,
+    rank: usize,
+    sent: Micros,
+}
+
+/// A simulated front end.
 pub struct FrontEnd {
     number: usize,
     settings: Arc<Settings>,
     catalogue: Arc<Catalogue>,
     calls_per_s: f64,
-    /// When calls begin, and how long they grow until they come at their full rate.
+    /// When calls begin, and for how long their rate grows to its full value.
     ramp: (Micros, Micros),
-    retries: u32,
+    max_retries: u32,
     random: Pcg64,
+    /// The controller of the running process; `None` while the front end is down.
     controller: Option<Controller>,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
+    /// Number of the event queued last.
     sequence: u64,
     now: Micros,
-    last: u64,
-    open: BTreeMap<u64, Open>,
-    /// Orders out: the worker's name, the function's rank, and since when.
-    orders: BTreeMap<u64, (String, usize, Micros)>,
-    /// Probes out, and the workers probed.
-    probes: BTreeMap<u64, String>,
-    /// When each worker was last sent something.
-    connections: BTreeMap<usize, Micros>,
+    /// Number of the last request, load command or probe.
+    last_id: u64,
+    open_requests: BTreeMap<u64, OpenRequest>,
+    open_loads: BTreeMap<u64, OpenLoad>,
+    /// Names of the workers whose replies to probes are awaited.
+    open_probes: BTreeMap<u64, String>,
+    /// When each worker was last sent a command.
+    last_contact: BTreeMap<usize, Micros>,
     ranks: Arc<BTreeMap<u64, usize>>,
-    order_counts: OrderCounts,
+    command_counts: CommandCounts,
+    /// Buffer for the controller's actions, kept to reuse its memory.
     actions: Vec<Action>,
-    done: Done,
+    output: StepOutput,
 }
 
 /// What all front ends of a run share.
-pub struct Common {
-    /// The settings that each is told.
+pub struct SharedContext {
+    /// The settings that each front end is configured with.
     pub settings: Arc<Settings>,
     /// The functions.
     pub catalogue: Arc<Catalogue>,
-    /// Ranks by the functions' identifiers.
+    /// The rank of each function by its identifier.
     pub ranks: Arc<BTreeMap<u64, usize>>,
-    /// Front ends that run.
+    /// Number of front ends that run.
     pub front_ends: u32,
-    /// Further tries of a refused client.
-    pub retries: u32,
-    /// Time over which calls grow to their full rate.
+    /// How often a client retries a refused call.
+    pub max_retries: u32,
+    /// Time over which the call rate grows to its full value.
     pub ramp: Micros,
-    /// The run's seed.
+    /// The seed of the run.
     pub seed: u64,
 }
 
-impl Common {
-    /// The position of a front end among those that the settings name, over which those that run are spread.
+impl SharedContext {
+    /// The position of a front end among those that the settings name; the ones that run are spread evenly over them.
     fn index_of(&self, number: usize) -> u32 {
         (number as u64 * u64::from(self.settings.gateways) / u64::from(self.front_ends.max(1))) as u32
     }
 }
 
 impl FrontEnd {
-    /// A front end that gets so many calls a second. It has not been started.
-    pub fn new(number: usize, calls_per_s: f64, common: &Common) -> Self {
-        let seed = common.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
+    /// A front end that is down, whose clients make `calls_per_s` calls per second once they start.
+    pub fn new(number: usize, calls_per_s: f64, shared: &SharedContext) -> Self {
+        let seed = shared.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
         FrontEnd {
             number,
-            settings: Arc::new(Settings { index: common.index_of(number), ..(*common.settings).clone() }),
-            catalogue: common.catalogue.clone(),
+            settings: Arc::new(Settings { index: shared.index_of(number), ..(*shared.settings).clone() }),
+            catalogue: shared.catalogue.clone(),
             calls_per_s,
-            ramp: (0, common.ramp),
-            retries: common.retries,
+            ramp: (0, shared.ramp),
+            max_retries: shared.max_retries,
             random: Pcg64::seed_from_u64(seed),
             controller: None,
             queue: BinaryHeap::new(),
             sequence: 0,
             now: 0,
-            last: 0,
-            open: BTreeMap::new(),
-            orders: BTreeMap::new(),
-            probes: BTreeMap::new(),
-            connections: BTreeMap::new(),
-            ranks: common.ranks.clone(),
-            order_counts: OrderCounts::default(),
+            last_id: 0,
+            open_requests: BTreeMap::new(),
+            open_loads: BTreeMap::new(),
+            open_probes: BTreeMap::new(),
+            last_contact: BTreeMap::new(),
+            ranks: shared.ranks.clone(),
+            command_counts: CommandCounts::default(),
             actions: Vec::new(),
-            done: Done::default(),
+            output: StepOutput::default(),
         }
     }
 
-    /// Starts a new process that is told the whole list.
+    /// Starts a new process, with the whole worker list as of the event of this number.
     pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<Entry>>) {
         self.controller = Some(Controller::new((*self.settings).clone(), self.random.random()));
-        self.put(now, Incoming::Whole(number, list));
+        self.schedule(now, FrontEndEvent::ListSnapshot(number, list));
     }
 
-    /// Begins the calls of its own clients.
-    pub fn open_for_clients(&mut self, now: Micros) {
+    /// Starts the calls of its own clients.
+    pub fn start_calls(&mut self, now: Micros) {
         self.ramp.0 = now;
-        let first = now + self.gap();
-        self.put(first, Incoming::Arrival);
+        let first = now + self.next_interval();
+        self.schedule(first, FrontEndEvent::NextCall);
     }
 
-    /// No more calls come.
-    pub fn close_to_clients(&mut self) {
-        self.queue.retain(|q| !matches!(q.0.what, Incoming::Arrival));
+    /// Ends the calls of its own clients.
+    pub fn stop_calls(&mut self) {
+        self.queue.retain(|q| !matches!(q.0.event, FrontEndEvent::NextCall));
     }
 
-    /// The process ends: all that is open is lost, and nobody hears of it.
+    /// Ends the process: all open requests are lost, and their workers are not notified.
     pub fn stop(&mut self, now: Micros) {
         self.controller = None;
-        let (class, ended, end) = (0, now, End::Lost);
-        for open in std::mem::take(&mut self.open).into_values().filter(|o| !o.answered) {
-            let record = CallRecord { class, asked: open.call.asked, ended, end, cold_start: None };
-            self.done.calls.push(CallRecord { class: open.class, ..record });
+        for request in std::mem::take(&mut self.open_requests).into_values().filter(|r| !r.closed) {
+            self.output.ended_calls.push(record(&request, now, CallOutcome::Lost, None));
         }
-        self.orders.clear();
-        self.connections.clear();
-        let clients = |q: &Reverse<Queued>| matches!(q.0.what, Incoming::Arrival | Incoming::Again(_));
-        self.queue.retain(clients);
+        self.open_loads.clear();
+        self.last_contact.clear();
+        let from_clients =
+            |q: &Reverse<QueuedEvent>| matches!(q.0.event, FrontEndEvent::NextCall | FrontEndEvent::Retry(_));
+        self.queue.retain(from_clients);
     }
 
     /// Whether its process runs.
@@ -239,124 +254,125 @@
         self.controller.is_some()
     }
 
-    /// Puts something in its queue.
-    pub fn put(&mut self, at: Micros, what: Incoming) {
+    /// Schedules an event.
+    pub fn schedule(&mut self, at: Micros, event: FrontEndEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse(Queued { at, sequence: self.sequence, what }));
+        self.queue.push(Reverse(QueuedEvent { at, sequence: self.sequence, event }));
     }
 
-    /// Takes all that has come by now.
-    pub fn run(&mut self, now: Micros) {
+    /// Handles all events that are due by `now`.
+    pub fn run_until(&mut self, now: Micros) {
         while self.queue.peek().is_some_and(|q| q.0.at <= now) {
-            let Some(Reverse(Queued { at, what, .. })) = self.queue.pop() else { return };
+            let Some(Reverse(QueuedEvent { at, event, .. })) = self.queue.pop() else { return };
             self.now = self.now.max(at);
-            self.take(what);
+            self.handle(event);
         }
     }
 
-    /// What was done since this was last asked.
-    pub fn done(&mut self) -> Done {
-        std::mem::take(&mut self.done)
+    /// Takes what the front end did since the last call of this.
+    pub fn take_output(&mut self) -> StepOutput {
+        std::mem::take(&mut self.output)
     }
 
-    /// The records that its module keeps.
+    /// Sizes of the state that its controller keeps.
     pub fn footprint(&self) -> Footprint {
         self.controller.as_ref().map(Controller::footprint).unwrap_or_default()
     }
 
-    /// Orders sent so far.
-    pub fn orders(&self) -> OrderCounts {
-        self.order_counts
+    /// Commands sent so far.
+    pub fn command_counts(&self) -> CommandCounts {
+        self.command_counts
     }
 
-    /// Workers sent something after this time: those to which a connection stands.
-    pub fn connected_since(&self, since: Micros) -> impl Iterator<Item = usize> + '_ {
-        self.connections.iter().filter(move |(_, &used)| used > since).map(|(&worker, _)| worker)
+    /// Workers that were sent a command after this time, and so have an open connection to this front end.
+    pub fn contacted_since(&self, since: Micros) -> impl Iterator<Item = usize> + '_ {
+        self.last_contact.iter().filter(move |(_, &last)| last > since).map(|(&worker, _)| worker)
     }
 
-    fn gap(&mut self) -> Micros {
+    /// Draws the time until the next call of its own clients.
+    fn next_interval(&mut self) -> Micros {
         let drawn: f64 = self.random.random();
         (-(1.0 - drawn).ln() / self.calls_per_s * SECOND as f64) as Micros + 1
     }
 
-    /// Whether a call comes that would at the full rate.
-    fn comes(&mut self) -> bool {
+    /// Whether to make a call that is due at the full rate; during the ramp only a growing share is made.
+    fn ramp_allows_call(&mut self) -> bool {
         let (start, length) = self.ramp;
-        let past = self.now.saturating_sub(start);
-        past >= length || self.random.random::<f64>() * (length as f64) < past as f64
+        let elapsed = self.now.saturating_sub(start);
+        elapsed >= length || self.random.random::<f64>() * (length as f64) < elapsed as f64
     }
 
-    fn take(&mut self, what: Incoming) {
-        match what {
-            Incoming::Arrival => {
-                let next = self.now + self.gap();
-                self.put(next, Incoming::Arrival);
+    fn handle(&mut self, event: FrontEndEvent) {
+        match event {
+            FrontEndEvent::NextCall => {
+                let next = self.now + self.next_interval();
+                self.schedule(next, FrontEndEvent::NextCall);
                 let rank = self.catalogue.rank(self.random.random());
-                if self.comes() {
-                    self.call(Try { rank, asked: self.now, before: 0 });
+                if self.ramp_allows_call() {
+                    self.start_request(ClientCall { rank, sent: self.now, retries: 0 });
                 }
             }
-            Incoming::Again(call) => self.call(call),
+            FrontEndEvent::Retry(call) => self.start_request(call),
             _ if self.controller.is_none() => {}
-            Incoming::Reply(Reply::Ended { call, outcome, warm, held, waited }) => {
-                self.ended(call, outcome, warm, held, waited);
+            FrontEndEvent::Reply(Reply::CallEnded { call, outcome, warm, inflight, waited }) => {
+                self.call_ended(call, outcome, warm, inflight, waited);
             }
-            Incoming::Reply(Reply::Held { order, outcome, copies, .. }) => {
-                self.order_ended(order, outcome, copies)
+            FrontEndEvent::Reply(Reply::LoadEnded { id, outcome, copies, .. }) => {
+                self.load_ended(id, outcome, copies)
             }
-            Incoming::Reply(Reply::Probed { probe, outcome, held, .. }) => {
-                if let Some(worker) = self.probes.remove(&probe) {
-                    self.feed(Event::Probed { worker, outcome, inflight: Some(held) });
+            FrontEndEvent::Reply(Reply::ProbeEnded { id, outcome, inflight, .. }) => {
+                if let Some(worker) = self.open_probes.remove(&id) {
+                    self.run_controller(Event::Probed { worker, outcome, inflight: Some(inflight) });
                 }
             }
-            Incoming::Discovery(state) => self.feed(Event::Discovery { state }),
-            Incoming::List(event) => {
-                self.feed(Event::Members { full: false, entries: event.entries.clone() });
-                self.done.known.push((event.number, self.now));
+            FrontEndEvent::Discovery(state) => self.run_controller(Event::Discovery { state }),
+            FrontEndEvent::ListChange(event) => {
+                self.run_controller(Event::Members { full: false, entries: event.entries.clone() });
+                self.output.applied_events.push((event.number, self.now));
             }
-            Incoming::Whole(number, entries) => {
-                self.feed(Event::Members { full: true, entries: (*entries).clone() });
-                self.done.known.push((number, self.now));
+            FrontEndEvent::ListSnapshot(number, entries) => {
+                self.run_controller(Event::Members { full: true, entries: (*entries).clone() });
+                self.output.applied_events.push((number, self.now));
             }
-            Incoming::Timer(token) => self.feed(Event::Timer { token }),
-            Incoming::AttemptDue(id, attempt) => self.attempt_due(id, attempt),
-            Incoming::ClientLeaves(id) => {
-                if let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) {
-                    open.answered = true;
-                    let call = record(open, self.now, End::Failed, None);
-                    self.done.calls.push(call);
-                    self.feed(Event::Withdrawn { id });
+            FrontEndEvent::Timer(token) => self.run_controller(Event::Timer { token }),
+            FrontEndEvent::AttemptTimeout(id, attempt) => self.attempt_timed_out(id, attempt),
+            FrontEndEvent::ClientTimeout(id) => {
+                if let Some(request) = self.open_requests.get_mut(&id).filter(|r| !r.closed) {
+                    request.closed = true;
+                    let call = record(request, self.now, CallOutcome::Failed, None);
+                    self.output.ended_calls.push(call);
+                    self.run_controller(Event::Withdrawn { id });
                 }
             }
         }
     }
 
-    fn call(&mut self, call: Try) {
+    fn start_request(&mut self, call: ClientCall) {
         if self.controller.is_none() {
-            return self.done.turned_elsewhere.push((self.now, call));
+            return self.output.undelivered_calls.push((self.now, call));
         }
-        self.last += 1;
-        let id = self.last;
+        self.last_id += 1;
+        let id = self.last_id;
         let function = &self.catalogue.functions[call.rank];
         let (class, memory_mb, lanes) = (function.class, function.memory_mb, self.catalogue.lanes);
-        let told = self.settings.classes.get(class).map_or(0, |c| c.give_up);
-        let left = if told > 0 { told } else { DEFAULT_GIVE_UP };
-        let (load_time, id_of, retry) = (function.load_time, function.id, call.before > 0);
-        let open = Open {
+        let configured = self.settings.classes.get(class).map_or(0, |c| c.give_up);
+        let left = if configured > 0 { configured } else { DEFAULT_CLIENT_TIMEOUT };
+        let (load_time, function, retry) = (function.load_time, function.id, call.retries > 0);
+        let request = OpenRequest {
             call,
             class,
             arrived: self.now,
-            answered: false,
+            closed: false,
             awaits_load: false,
             attempts: Vec::new(),
         };
-        self.open.insert(id, open);
-        self.put(self.now + left, Incoming::ClientLeaves(id));
-        self.feed(Event::Request {
+        self.open_requests.insert(id, request);
+        self.schedule(self.now + left, FrontEndEvent::ClientTimeout(id));
+        self.run_controller(Event::Request {
             id,
             class,
             tenant: None,
-            function: id_of,
+            function,
             left,
             memory_mb,
             lanes,
@@ -365,163 +381,178 @@
         });
     }
 
-    fn ended(&mut self, call: CallOut, outcome: Outcome, warm: bool, held: f64, waited: Micros) {
-        let Some(open) = self.open.get_mut(&call.id) else { return };
-        let Some(attempt) = open.attempts.get_mut(call.attempt).filter(|a| a.open) else { return };
+    fn call_ended(&mut self, call: WorkerCall, outcome: Outcome, warm: bool, inflight: f64, waited: Micros) {
+        let Some(request) = self.open_requests.get_mut(&call.request) else { return };
+        let Some(attempt) = request.attempts.get_mut(call.attempt).filter(|a| a.open) else { return };
         attempt.open = false;
         let elapsed = self.now.saturating_sub(attempt.sent);
-        if outcome == Outcome::Ok && !open.answered {
-            open.answered = true;
-            let began = call.arrived + waited;
-            let wait = began.saturating_sub(open.arrived);
-            let cold = (!warm || open.awaits_load && wait > FOUND_STANDING).then_some(wait);
-            let call = record(open, self.now, End::Served, cold);
-            self.done.calls.push(call);
+        if outcome == Outcome::Ok && !request.closed {
+            request.closed = true;
+            let started = call.arrived + waited;
+            let wait = started.saturating_sub(request.arrived);
+            let cold = (!warm || request.awaits_load && wait > ALREADY_LOADED_WITHIN).then_some(wait);
+            let call = record(request, self.now, CallOutcome::Served, cold);
+            self.output.ended_calls.push(call);
         }
-        let (id, attempt, closed) = (call.id, call.attempt, open.answered);
+        let (id, attempt, closed) = (call.request, call.attempt, request.closed);
         let warm = (outcome == Outcome::Ok).then_some(warm);
-        let inflight = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Miss).then_some(held);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd: None, inflight });
-        self.forget(id);
+        let inflight = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Miss).then_some(inflight);
+        self.run_controller(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            crowd: None,
+            inflight,
+        });
+        self.remove_if_done(id);
     }
 
-    fn attempt_due(&mut self, id: u64, attempt: usize) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(out) = open.attempts.get_mut(attempt).filter(|a| a.open) else { return };
-        out.open = false;
-        let (worker, elapsed) = (out.worker, self.now.saturating_sub(out.sent));
-        let (rank, closed) = (open.call.rank, open.answered);
+    fn attempt_timed_out(&mut self, id: u64, attempt: usize) {
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let Some(open_attempt) = request.attempts.get_mut(attempt).filter(|a| a.open) else { return };
+        open_attempt.open = false;
+        let (worker, elapsed) = (open_attempt.worker, self.now.saturating_sub(open_attempt.sent));
+        let (rank, closed) = (request.call.rank, request.closed);
         self.cancel(id, attempt, rank, worker);
         let outcome = Outcome::Timeout;
         let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
-        self.forget(id);
+        self.run_controller(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+        self.remove_if_done(id);
     }
 
-    fn order_ended(&mut self, order: u64, outcome: Outcome, count: u32) {
-        let Some((worker, rank, since)) = self.orders.remove(&order) else { return };
+    fn load_ended(&mut self, id: u64, outcome: Outcome, count: u32) {
+        let Some(OpenLoad { worker, rank, sent }) = self.open_loads.remove(&id) else { return };
         let function = self.catalogue.functions[rank].id;
-        let elapsed = self.now.saturating_sub(since);
-        self.feed(Event::Loaded { worker, function, count, outcome, elapsed });
+        let elapsed = self.now.saturating_sub(sent);
+        self.run_controller(Event::Loaded { worker, function, count, outcome, elapsed });
     }
 
     fn cancel(&mut self, id: u64, attempt: usize, rank: usize, worker: usize) {
-        let call = CallOut { front_end: self.number, id, attempt, rank, arrived: 0 };
-        self.done.commands.push((self.now, worker, Command::Cancel(call)));
+        let call = WorkerCall { front_end: self.number, request: id, attempt, rank, arrived: 0 };
+        self.output.commands.push((self.now, worker, Command::Cancel(call)));
     }
 
-    /// Drops a call's record once it is answered and nothing of it is out.
-    fn forget(&mut self, id: u64) {
-        if self.open.get(&id).is_some_and(|o| o.answered && !o.attempts.iter().any(|a| a.open)) {
-            self.open.remove(&id);
+    /// Drops a request once it is closed for its client and none of its attempts is open.
+    fn remove_if_done(&mut self, id: u64) {
+        if self.open_requests.get(&id).is_some_and(|r| r.closed && !r.attempts.iter().any(|a| a.open)) {
+            self.open_requests.remove(&id);
         }
     }
 
-    fn feed(&mut self, event: Event) {
+    /// Hands an event to the controller and executes its actions, with the events that follow from them.
+    fn run_controller(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let Some(controller) = &mut self.controller else { return };
             let mut actions = std::mem::take(&mut self.actions);
             controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.act(action));
+                events.extend(self.execute(action));
             }
             self.actions = actions;
         }
     }
 
-    /// Carries an action out; tells what it leads to at once.
-    fn act(&mut self, action: Action) -> Option<Event> {
+    /// Executes an action. Returns the event that follows from it immediately, if any.
+    fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Send { id, worker, timeout } => self.send(id, &worker, timeout),
+            Action::Send { id, worker, timeout } => self.send_attempt(id, &worker, timeout),
             Action::Cancel { id, attempt } => {
-                let open = self.open.get_mut(&id)?;
-                let out = open.attempts.get_mut(attempt).filter(|a| a.open)?;
-                out.open = false;
-                let (worker, elapsed) = (out.worker, self.now.saturating_sub(out.sent));
-                let (rank, closed) = (open.call.rank, open.answered);
+                let request = self.open_requests.get_mut(&id)?;
+                let open_attempt = request.attempts.get_mut(attempt).filter(|a| a.open)?;
+                open_attempt.open = false;
+                let (worker, elapsed) = (open_attempt.worker, self.now.saturating_sub(open_attempt.sent));
+                let (rank, closed) = (request.call.rank, request.closed);
                 self.cancel(id, attempt, rank, worker);
-                self.forget(id);
+                self.remove_if_done(id);
                 let outcome = Outcome::Cancelled;
                 let (warm, crowd, inflight) = (None, None, None);
                 return Some(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
             }
-            Action::Refuse { id, retry_after } => self.refused(id, retry_after),
+            Action::Refuse { id, retry_after } => self.refuse(id, retry_after),
             Action::Fail { id } => {
-                if let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) {
-                    open.answered = true;
-                    let call = record(open, self.now, End::Failed, None);
-                    self.done.calls.push(call);
-                    self.forget(id);
+                if let Some(request) = self.open_requests.get_mut(&id).filter(|r| !r.closed) {
+                    request.closed = true;
+                    let call = record(request, self.now, CallOutcome::Failed, None);
+                    self.output.ended_calls.push(call);
+                    self.remove_if_done(id);
                 }
             }
-            Action::Load { worker, function, count } => self.order(&worker, function, count),
+            Action::Load { worker, function, count } => self.send_load(&worker, function, count),
             Action::Drop { worker, function } => {
-                self.order_counts.unloads += 1;
+                self.command_counts.unloads += 1;
                 let (worker, rank) = (worker_number(&worker)?, *self.ranks.get(&function)?);
-                self.connections.insert(worker, self.now);
-                self.done.commands.push((self.now, worker, Command::Unload(rank)));
+                self.last_contact.insert(worker, self.now);
+                self.output.commands.push((self.now, worker, Command::Unload(rank)));
             }
-            Action::Probe { worker } => self.probe(worker),
-            Action::Timer { delay, token } => self.put(self.now + delay, Incoming::Timer(token)),
+            Action::Probe { worker } => self.send_probe(worker),
+            Action::Timer { delay, token } => self.schedule(self.now + delay, FrontEndEvent::Timer(token)),
             Action::Watch | Action::Log { .. } => {}
         }
         None
     }
 
-    fn send(&mut self, id: u64, worker: &str, timeout: Micros) {
-        let (Some(worker), Some(open)) = (worker_number(worker), self.open.get_mut(&id)) else { return };
-        let (attempt, rank) = (open.attempts.len(), open.call.rank);
-        open.attempts.push(Attempt { worker, sent: self.now, open: true });
-        self.connections.insert(worker, self.now);
-        let call = CallOut { front_end: self.number, id, attempt, rank, arrived: 0 };
-        self.done.commands.push((self.now, worker, Command::Call(call)));
+    fn send_attempt(&mut self, id: u64, worker: &str, timeout: Micros) {
+        let (Some(worker), Some(request)) = (worker_number(worker), self.open_requests.get_mut(&id)) else {
+            return;
+        };
+        let (attempt, rank) = (request.attempts.len(), request.call.rank);
+        request.attempts.push(Attempt { worker, sent: self.now, open: true });
+        self.last_contact.insert(worker, self.now);
+        let call = WorkerCall { front_end: self.number, request: id, attempt, rank, arrived: 0 };
+        self.output.commands.push((self.now, worker, Command::Call(call)));
         if timeout > 0 {
-            self.put(self.now + timeout, Incoming::AttemptDue(id, attempt));
+            self.schedule(self.now + timeout, FrontEndEvent::AttemptTimeout(id, attempt));
         }
     }
 
-    fn order(&mut self, name: &str, function: u64, copies: u32) {
+    fn send_load(&mut self, name: &str, function: u64, copies: u32) {
         let (Some(worker), Some(&rank)) = (worker_number(name), self.ranks.get(&function)) else { return };
-        self.last += 1;
-        let (front_end, order) = (self.number, self.last);
-        self.orders.insert(order, (name.to_owned(), rank, self.now));
-        self.connections.insert(worker, self.now);
-        self.done.commands.push((self.now, worker, Command::Hold { front_end, order, rank, copies }));
+        self.last_id += 1;
+        let (front_end, id) = (self.number, self.last_id);
+        self.open_loads.insert(id, OpenLoad { worker: name.to_owned(), rank, sent: self.now });
+        self.last_contact.insert(worker, self.now);
+        self.output.commands.push((self.now, worker, Command::Load { front_end, id, rank, copies }));
         if copies == 0 {
-            self.order_counts.questions += 1;
+            self.command_counts.copy_queries += 1;
             return;
         }
-        self.order_counts.holds += 1;
-        let waits = |o: &&mut Open| o.call.rank == rank && o.attempts.is_empty() && !o.answered;
-        self.open.values_mut().filter(waits).for_each(|o| o.awaits_load = true);
+        self.command_counts.loads += 1;
+        let unsent = |r: &&mut OpenRequest| r.call.rank == rank && r.attempts.is_empty() && !r.closed;
+        self.open_requests.values_mut().filter(unsent).for_each(|r| r.awaits_load = true);
     }
 
-    fn probe(&mut self, name: String) {
+    fn send_probe(&mut self, name: String) {
         let Some(worker) = worker_number(&name) else { return };
-        self.last += 1;
-        let (front_end, probe) = (self.number, self.last);
-        self.probes.insert(probe, name);
-        self.connections.insert(worker, self.now);
-        self.done.commands.push((self.now, worker, Command::Probe { front_end, probe }));
-        self.order_counts.probes += 1;
+        self.last_id += 1;
+        let (front_end, id) = (self.number, self.last_id);
+        self.open_probes.insert(id, name);
+        self.last_contact.insert(worker, self.now);
+        self.output.commands.push((self.now, worker, Command::Probe { front_end, id }));
+        self.command_counts.probes += 1;
     }
 
-    fn refused(&mut self, id: u64, retry_after: Micros) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else { return };
-        open.answered = true;
-        let call = Try { before: open.call.before + 1, ..open.call };
-        if call.before > self.retries {
-            let call = record(open, self.now, End::Refused, None);
-            self.done.calls.push(call);
+    fn refuse(&mut self, id: u64, retry_after: Micros) {
+        let Some(request) = self.open_requests.get_mut(&id).filter(|r| !r.closed) else { return };
+        request.closed = true;
+        let call = ClientCall { retries: request.call.retries + 1, ..request.call };
+        if call.retries > self.max_retries {
+            let call = record(request, self.now, CallOutcome::Refused, None);
+            self.output.ended_calls.push(call);
         } else {
-            let wait = retry_after.max(milliseconds(CLIENT_WAIT_MS));
-            self.put(self.now + wait, Incoming::Again(call));
+            let wait = retry_after.max(milliseconds(DEFAULT_RETRY_WAIT_MS));
+            self.schedule(self.now + wait, FrontEndEvent::Retry(call));
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 }
 
-fn record(open: &Open, ended: Micros, end: End, cold_start: Option<Micros>) -> CallRecord {
-    CallRecord { class: open.class, asked: open.call.asked, ended, end, cold_start }
+/// The record of a request that ended for its client.
+fn record(
+    request: &OpenRequest, ended: Micros, outcome: CallOutcome, cold_start: Option<Micros>,
+) -> CallRecord {
+    CallRecord { class: request.class, sent: request.call.sent, ended, outcome, cold_start }
 }
--- a/scale/src/fleet/mod.rs
+++ b/scale/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! Hollow front ends on one virtual clock: each runs the real decision module against the hollow world.
+//! Simulated front ends on one virtual clock: each runs the real controller of `heronslip-policy` against the simulated
+//! workers and discovery server.
 //!
-//! Time moves in steps. In each, front ends take what has come for them by the step's end, side by side, as they
-//! share nothing; then the world takes their commands in a fixed order. So the same experiment gives the same
-//! result, byte for byte, on any number of cores.
+//! Time advances in steps. In each step the front ends handle their events in parallel, as they share no state; then
+//! the workers get their commands in a fixed order. So an experiment gives the same result, byte for byte, on any
+//! number of cores.
 pub mod calls;
 mod engine;
 mod front_end;
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,8 +1,9 @@
-//! Emulator and load tool of the front end.
+//! Emulator, load test tool and soak test of the front end.
 //!
-//! Two roles, one experiment file: [`fleet`] runs some hundreds of hollow front ends, each with the real decision
-//! module, against a hollow world on one virtual clock; [`node`] runs real front-end processes on loopback sockets
-//! against the same hollow workers in real time. No decision is copied into this crate.
+//! Two roles share the format of the experiment file: [`fleet`] runs hundreds of simulated front ends, each with the
+//! real controller of `heronslip-policy`, against simulated workers on one virtual clock; [`node`] runs real front-end
+//! processes on loopback sockets against the same simulated workers in real time. A third role, [`soak`], injects
+//! faults into runs of real front ends and checks their behaviour. This crate makes no decisions of a front end itself.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the emulator and load tool.
+//! The command line of the emulator, load test and soak test tool.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
@@ -10,12 +10,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code of an experiment that cannot be run as it is written.
-const BAD_EXPERIMENT: u8 = 2;
-/// Exit code after SIGINT or SIGTERM, as shells count it.
+/// Exit code for an experiment or soak configuration that cannot be run.
+const INVALID_EXPERIMENT: u8 = 2;
+/// Exit code after SIGINT or SIGTERM: by convention of shells, 128 plus the number of SIGINT.
 const INTERRUPTED: u8 = 130;
 
-/// Emulator and load tool of the front end.
+/// Emulator, load test and soak test of the front end.
 #[derive(Parser)]
 #[command(name = "heronslip-scale", version)]
 struct CommandLine {
@@ -25,101 +25,102 @@
 
 #[derive(Subcommand)]
 enum Role {
-    /// Hollow front ends with the real decision module, on one virtual clock.
-    Fleet(Run),
+    /// Simulated front ends with the real decision logic, on one virtual clock.
+    Fleet(RunArgs),
     /// Real front-end processes on loopback sockets.
     Node {
         #[command(flatten)]
-        run: Run,
-        /// The deploy file whose `run` starts a front end.
+        run: RunArgs,
+        /// The deploy file; its `run` is the command that starts a front end.
         #[arg(long, default_value = "deploy/balancer.toml")]
         deploy: PathBuf,
     },
-    /// Seeded faults round real front ends, and a checker of the rules. Ends with 0 only if none was broken.
-    Soak(Soak),
+    /// Real front ends under seeded faults, checked against the rules. Exits with 0 only if no rule was broken.
+    Soak(SoakArgs),
 }
 
-/// What a soak plays.
 #[derive(Args)]
-struct Soak {
-    /// What plays are drawn from.
+struct SoakArgs {
+    /// The soak configuration, from which each run is drawn.
     config: PathBuf,
-    /// Seeds, FROM..TO, both played.
-    #[arg(long, default_value = "1..3", value_parser = seeds)]
+    /// Seeds to run, FROM..TO, both included.
+    #[arg(long, default_value = "1..3", value_parser = parse_seeds)]
     seeds: std::ops::RangeInclusive<u64>,
-    /// The deploy file whose `run` starts a front end.
+    /// The deploy file; its `run` is the command that starts a front end.
     #[arg(long, default_value = "deploy/balancer.toml")]
     deploy: PathBuf,
-    /// The shim's library; else the one beside this program.
+    /// The shim's library; by default the one next to this program.
     #[arg(long)]
     shim: Option<PathBuf>,
-    /// Folder for the records, SEED.jsonl.
+    /// Directory for the records, SEED.jsonl.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-fn seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
-    let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
+fn parse_seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
+    let parse = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
     let (from, to) = text.split_once("..").unwrap_or((text, text));
-    Ok(number(from)?..=number(to)?)
+    Ok(parse(from)?..=parse(to)?)
 }
 
 #[derive(Args)]
-struct Run {
+struct RunArgs {
     /// The experiment file.
     experiment: PathBuf,
-    /// Folder for NAME.json and NAME.md.
+    /// Directory for the results, NAME.json and NAME.md.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Another seed than the file's.
+    /// Overrides the seed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Another number of listed workers.
+    /// Overrides the number of listed workers.
     #[arg(long)]
     workers: Option<u32>,
-    /// Another number of functions.
+    /// Overrides the number of functions.
     #[arg(long)]
     functions: Option<u32>,
-    /// Another exponent of the popularity.
+    /// Overrides the exponent of the functions' popularity.
     #[arg(long)]
     exponent: Option<f64>,
-    /// Another rate of calls at a front end, a second.
+    /// Overrides the calls per second at a front end.
     #[arg(long)]
     calls: Option<f64>,
-    /// Another number of front ends.
+    /// Overrides the number of front ends.
     #[arg(long)]
     front_ends: Option<u32>,
-    /// Another number of changes of the list an hour.
+    /// Overrides the number of changes of the worker list per hour.
     #[arg(long)]
     changes_per_hour: Option<f64>,
-    /// Another name for the results.
+    /// Overrides the name of the results.
     #[arg(long)]
     name: Option<String>,
 }
 
-impl Run {
+impl RunArgs {
+    /// Reads the experiment file and applies the overrides.
     fn read(&self) -> Result<Experiment, Box<dyn Error>> {
         let mut experiment = Experiment::read(&self.experiment)?;
-        let set = |to: &mut u32, value: Option<u32>| *to = value.unwrap_or(*to);
+        let set = |field: &mut u32, value: Option<u32>| *field = value.unwrap_or(*field);
         set(&mut experiment.fleet.workers, self.workers);
         set(&mut experiment.functions.count, self.functions);
         set(&mut experiment.fleet.front_ends, self.front_ends);
         experiment.seed = self.seed.unwrap_or(experiment.seed);
         experiment.functions.exponent = self.exponent.unwrap_or(experiment.functions.exponent);
         experiment.calls.per_front_end_s = self.calls.unwrap_or(experiment.calls.per_front_end_s);
-        experiment.board.changes_per_hour =
-            self.changes_per_hour.unwrap_or(experiment.board.changes_per_hour);
+        experiment.discovery.changes_per_hour =
+            self.changes_per_hour.unwrap_or(experiment.discovery.changes_per_hour);
         if let Some(name) = &self.name {
             experiment.name.clone_from(name);
         }
         Ok(experiment)
     }
 
+    /// Prints the table, and writes the results to the output directory if there is one.
     fn write(&self, name: &str, report: &impl Serialize, table: &str) -> Result<(), Box<dyn Error>> {
         print!("{table}");
-        let Some(folder) = &self.out else { return Ok(()) };
-        std::fs::create_dir_all(folder)?;
-        let path = |kind: &str| Path::new(folder).join(format!("{name}.{kind}"));
+        let Some(directory) = &self.out else { return Ok(()) };
+        std::fs::create_dir_all(directory)?;
+        let path = |extension: &str| Path::new(directory).join(format!("{name}.{extension}"));
         std::fs::write(path("json"), serde_json::to_string_pretty(report)? + "\n")?;
         std::fs::write(path("md"), table)?;
         Ok(())
@@ -142,13 +143,13 @@
             match error.downcast_ref() {
                 Some(node::NodeError::Interrupted) => ExitCode::from(INTERRUPTED),
                 Some(_) => ExitCode::FAILURE,
-                None => ExitCode::from(BAD_EXPERIMENT),
+                None => ExitCode::from(INVALID_EXPERIMENT),
             }
         }
     }
 }
 
-fn run_fleet(run: &Run) -> Result<(), Box<dyn Error>> {
+fn run_fleet(run: &RunArgs) -> Result<(), Box<dyn Error>> {
     let experiment = run.read()?;
     let (settings, _) = node::settings(&experiment)?;
     bounds::check_fleet(&experiment, &settings)?;
@@ -156,18 +157,18 @@
     run.write(&experiment.name, &report, &report.markdown())
 }
 
-fn run_node(run: &Run, deploy: &Path) -> Result<(), Box<dyn Error>> {
+fn run_node(run: &RunArgs, deploy: &Path) -> Result<(), Box<dyn Error>> {
     let experiment = run.read()?;
-    let (settings, told) = node::settings(&experiment)?;
+    let (settings, settings_json) = node::settings(&experiment)?;
     bounds::check_node(&experiment, &settings)?;
     let deploy = node::Deploy::read(deploy)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let report = runtime.block_on(node::run(&experiment, settings, &told, &deploy))?;
+    let report = runtime.block_on(node::run(&experiment, settings, &settings_json, &deploy))?;
     run.write(&experiment.name, &report, &report.markdown())
 }
 
-fn run_soak(soak: &Soak) -> ExitCode {
-    match play_soak(soak) {
+fn run_soak(soak: &SoakArgs) -> ExitCode {
+    match soak_violations(soak) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(broken) => {
             eprintln!("heronslip-scale: {broken} broken rules");
@@ -177,28 +178,29 @@
             eprintln!("heronslip-scale: {}: {error}", soak.config.display());
             match error.downcast_ref() {
                 Some(SoakError::Interrupted) => ExitCode::from(INTERRUPTED),
-                _ => ExitCode::from(BAD_EXPERIMENT),
+                _ => ExitCode::from(INVALID_EXPERIMENT),
             }
         }
     }
 }
 
-fn play_soak(soak: &Soak) -> Result<usize, Box<dyn Error>> {
-    let beside = std::env::current_exe()?.with_file_name("libheronslip_shim.so");
+/// Runs the soak and returns the number of rule violations.
+fn soak_violations(soak: &SoakArgs) -> Result<usize, Box<dyn Error>> {
+    let default_shim = std::env::current_exe()?.with_file_name("libheronslip_shim.so");
     let options = SoakOptions {
         config: SoakConfig::read(&soak.config)?,
         deploy: node::Deploy::read(&soak.deploy)?,
-        shim: std::path::absolute(soak.shim.clone().unwrap_or(beside))?,
+        shim: std::path::absolute(soak.shim.clone().unwrap_or(default_shim))?,
         seeds: soak.seeds.clone(),
         out: soak.out.clone(),
     };
     println!("| seed | s | front ends, workers | faults | requests | served | refused, failed | probes | rules broken |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    Ok(runtime.block_on(heronslip_scale::soak::soak(&options, print_play))?)
+    Ok(runtime.block_on(heronslip_scale::soak::soak(&options, print_run))?)
 }
 
-fn print_play(report: &PlayReport) {
+fn print_run(report: &PlayReport) {
     let plan = &report.plan;
     let count = |name: &str| report.answers.get(name).copied().unwrap_or(0);
     let rules: std::collections::BTreeSet<String> =
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -1,7 +1,7 @@
-//! Hollow clients of one front end: they call functions by their popularity over a few kept connections.
-use super::wire::{abort, read_record, request, Record};
+//! Simulated clients of a front end: they call functions by popularity, over a few persistent connections.
+use super::wire::{encode_abort, encode_request, read_record, Record};
 use crate::catalogue::Catalogue;
-use crate::fleet::calls::{CallRecord, End};
+use crate::fleet::calls::{CallOutcome, CallRecord};
 use crate::time::{RealClock, SECOND};
 use heronslip_policy::{Effect, Micros, Settings};
 use rand::{Rng, SeedableRng};
@@ -16,19 +16,19 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::oneshot;
 
-/// What a client waits where its class states no time.
-const DEFAULT_WAIT: Micros = 3 * SECOND;
-/// Requests that one connection may carry together, by the protocol.
-const REQUESTS_A_CONNECTION: usize = 32;
-/// A connection without a request for this long is closed, by the protocol.
-const IDLE: Duration = Duration::from_secs(4);
+/// Timeout of a client whose class states none.
+const DEFAULT_TIMEOUT: Micros = 3 * SECOND;
+/// Limit of the concurrent requests on a connection, by the protocol.
+const MAX_REQUESTS_PER_CONNECTION: usize = 32;
+/// Time without a request after which a connection is closed, by the protocol.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Whether a front end answers that it is ready.
+/// Whether a front end responds to its health check as ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
-    let ask = async {
+    let check = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         let path = [("SCRIPT_NAME", "/healthz".to_owned())];
-        stream.write_all(&request(1, &path, &[])).await.ok()?;
+        stream.write_all(&encode_request(1, &path, &[])).await.ok()?;
         loop {
             match read_record(&mut stream).await.ok()? {
                 Record::Output(_, content) if content.starts_with(b"Status: 200") => return Some(()),
@@ -37,17 +37,19 @@
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(1), ask).await.ok().flatten().is_some()
+    tokio::time::timeout(Duration::from_secs(1), check).await.ok().flatten().is_some()
 }
 
-/// Answers that are awaited on a connection, by request id.
-type Awaited = Arc<Mutex<HashMap<u16, (Vec<u8>, oneshot::Sender<Vec<u8>>)>>>;
+/// The requests of a connection whose responses are not complete, by request ID: the output so far, and where the
+/// complete one goes.
+type PendingResponses = Arc<Mutex<HashMap<u16, (Vec<u8>, oneshot::Sender<Vec<u8>>)>>>;
 
-/// A kept connection.
+/// A persistent connection to a front end.
 struct Connection {
     send: UnboundedSender<Vec<u8>>,
-    awaited: Awaited,
-    next: u16,
+    pending: PendingResponses,
+    /// ID of the request sent last.
+    last_id: u16,
 }
 
 impl Connection {
@@ -56,20 +58,20 @@
         stream.set_nodelay(true)?;
         let (read, mut write) = stream.into_split();
         let (send, mut queue) = unbounded_channel::<Vec<u8>>();
-        let awaited = Awaited::default();
+        let pending = PendingResponses::default();
         tokio::spawn(async move {
-            while let Ok(Some(bytes)) = tokio::time::timeout(IDLE, queue.recv()).await {
+            while let Ok(Some(bytes)) = tokio::time::timeout(IDLE_TIMEOUT, queue.recv()).await {
                 if write.write_all(&bytes).await.is_err() {
                     return;
                 }
             }
         });
-        tokio::spawn(read_answers(read, awaited.clone()));
-        Ok(Connection { send, awaited, next: 0 })
+        tokio::spawn(read_responses(read, pending.clone()));
+        Ok(Connection { send, pending, last_id: 0 })
     }
 
     fn open_requests(&self) -> usize {
-        self.awaited.lock().map_or(usize::MAX, |a| a.len())
+        self.pending.lock().map_or(usize::MAX, |a| a.len())
     }
 
     fn is_closed(&self) -> bool {
@@ -77,29 +79,29 @@
     }
 }
 
-async fn read_answers(mut read: OwnedReadHalf, awaited: Awaited) {
+async fn read_responses(mut read: OwnedReadHalf, pending: PendingResponses) {
     loop {
         let record = read_record(&mut read).await;
-        let Ok(mut awaited) = awaited.lock() else { return };
+        let Ok(mut pending) = pending.lock() else { return };
         match record {
             Ok(Record::Output(id, content)) => {
-                if let Some((output, _)) = awaited.get_mut(&id) {
+                if let Some((output, _)) = pending.get_mut(&id) {
                     output.extend(content);
                 }
             }
             Ok(Record::End(id)) => {
-                if let Some((output, tell)) = awaited.remove(&id) {
-                    let _ = tell.send(output); // the client may just have left
+                if let Some((output, done)) = pending.remove(&id) {
+                    let _ = done.send(output); // the client may just have timed out
                 }
             }
             Ok(Record::Other) => {}
-            Err(_) => return awaited.clear(),
+            Err(_) => return pending.clear(),
         }
     }
 }
 
-/// Where calls that ended are handed in.
-pub type Ended = UnboundedSender<CallRecord>;
+/// Receives the records of calls that ended.
+pub type RecordSender = UnboundedSender<CallRecord>;
 
 /// The clients of one front end.
 pub struct Clients {
@@ -109,22 +111,22 @@
     calls_per_s: f64,
     clock: RealClock,
     random: Pcg64,
-    ended: Ended,
+    records: RecordSender,
     connections: Vec<Connection>,
 }
 
 impl Clients {
-    /// Clients that make so many calls a second.
+    /// Clients that together make `calls_per_s` calls per second.
     pub fn new(
         address: SocketAddr, seed: u64, calls_per_s: f64, catalogue: Arc<Catalogue>, settings: Arc<Settings>,
-        clock: RealClock, ended: Ended,
+        clock: RealClock, records: RecordSender,
     ) -> Self {
         let random = Pcg64::seed_from_u64(seed);
         let connections = Vec::new();
-        Clients { address, catalogue, settings, calls_per_s, clock, random, ended, connections }
+        Clients { address, catalogue, settings, calls_per_s, clock, random, records, connections }
     }
 
-    /// Calls until the task is ended.
+    /// Makes calls until the task is aborted.
     pub async fn run(mut self) {
         if self.calls_per_s <= 0.0 {
             return;
@@ -135,22 +137,23 @@
             next += Duration::from_secs_f64(-(1.0 - drawn).ln() / self.calls_per_s);
             tokio::time::sleep_until(next).await;
             if self.call().await.is_none() {
-                self.lost();
+                self.record_lost();
             }
         }
     }
 
-    /// A call that could not be made.
-    fn lost(&self) {
+    /// Records a call that could not be sent.
+    fn record_lost(&self) {
         let now = self.clock.now();
-        let record = CallRecord { class: 0, asked: now, ended: now, end: End::Lost, cold_start: None };
-        let _ = self.ended.send(record); // the run may just have ended
+        let record =
+            CallRecord { class: 0, sent: now, ended: now, outcome: CallOutcome::Lost, cold_start: None };
+        let _ = self.records.send(record); // the run may just have ended
     }
 
-    /// A connection with room, a new one if there is none.
+    /// A connection with fewer requests than the limit; a new one if there is none.
     async fn connection(&mut self) -> Option<&mut Connection> {
         self.connections.retain(|c| !c.is_closed());
-        let free = self.connections.iter().position(|c| c.open_requests() < REQUESTS_A_CONNECTION);
+        let free = self.connections.iter().position(|c| c.open_requests() < MAX_REQUESTS_PER_CONNECTION);
         let at = match free {
             Some(at) => at,
             None => {
@@ -161,16 +164,17 @@
         self.connections.get_mut(at)
     }
 
+    /// Sends a call; a task awaits its response. Returns `None` if it cannot be sent.
     async fn call(&mut self) -> Option<()> {
         let rank = self.catalogue.rank(self.random.random());
         let id: u64 = self.random.random();
         let function = &self.catalogue.functions[rank];
         let class = self.settings.classes.get(function.class)?;
-        let wait = if class.give_up > 0 { class.give_up } else { DEFAULT_WAIT };
+        let timeout = if class.give_up > 0 { class.give_up } else { DEFAULT_TIMEOUT };
         let mut params = vec![
             ("SCRIPT_NAME", format!("/v1/{}", class.name)),
             ("HTTP_REQ_ID", format!("{id:016x}")),
-            ("HTTP_REQ_WAIT_MS", (wait / 1_000).to_string()),
+            ("HTTP_REQ_WAIT_MS", (timeout / 1_000).to_string()),
             ("HTTP_REQ_KEY", format!("{:016x}", function.id)),
             (
                 "HTTP_X_MORE",
@@ -186,46 +190,46 @@
             params.push(("HTTP_REQ_TOKEN", format!("{id:032x}")));
         }
         let class = function.class;
-        let (clock, ended) = (self.clock, self.ended.clone());
+        let (clock, records) = (self.clock, self.records.clone());
         let connection = self.connection().await?;
-        connection.next = connection.next % u16::MAX + 1;
-        let number = connection.next;
-        let (tell, answer) = oneshot::channel();
-        connection.awaited.lock().ok()?.insert(number, (Vec::new(), tell));
-        let asked = clock.now();
-        connection.send.send(request(number, &params, b"emulated call")).ok()?;
-        let (send, awaited) = (connection.send.clone(), connection.awaited.clone());
+        connection.last_id = connection.last_id % u16::MAX + 1;
+        let id_on_connection = connection.last_id;
+        let (done, response) = oneshot::channel();
+        connection.pending.lock().ok()?.insert(id_on_connection, (Vec::new(), done));
+        let sent = clock.now();
+        connection.send.send(encode_request(id_on_connection, &params, b"emulated call")).ok()?;
+        let (send, pending) = (connection.send.clone(), connection.pending.clone());
         tokio::spawn(async move {
-            let answer = tokio::time::timeout(Duration::from_micros(wait), answer).await;
-            if answer.is_err() {
-                if let Ok(mut awaited) = awaited.lock() {
-                    awaited.remove(&number);
+            let response = tokio::time::timeout(Duration::from_micros(timeout), response).await;
+            if response.is_err() {
+                if let Ok(mut pending) = pending.lock() {
+                    pending.remove(&id_on_connection);
                 }
-                let _ = send.send(abort(number)); // the connection may be gone
+                let _ = send.send(encode_abort(id_on_connection)); // the connection may be gone
             }
-            let (end, cold_start) = match answer {
-                Ok(Ok(output)) => outcome(&output, asked),
-                Ok(Err(_)) => (End::Lost, None),
-                Err(_) => (End::Failed, None),
+            let (outcome, cold_start) = match response {
+                Ok(Ok(output)) => parse_response(&output, sent),
+                Ok(Err(_)) => (CallOutcome::Lost, None),
+                Err(_) => (CallOutcome::Failed, None),
             };
-            let _ = ended.send(CallRecord { class, asked, ended: clock.now(), end, cold_start });
+            let _ = records.send(CallRecord { class, sent, ended: clock.now(), outcome, cold_start });
         });
         Some(())
     }
 }
 
-/// How a call ended by its CGI response, and the time until it began where a load was needed for it.
-fn outcome(output: &[u8], asked: Micros) -> (End, Option<Micros>) {
+/// The outcome of a call from its CGI response, and the time until it started at the worker if it waited for a load.
+fn parse_response(output: &[u8], sent: Micros) -> (CallOutcome, Option<Micros>) {
     let text = String::from_utf8_lossy(output);
     let status = text.strip_prefix("Status: ").and_then(|s| s.get(..3)).unwrap_or_default();
     match status {
         "200" => {
             let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
-            let mut figures = body.split(' ').filter_map(|f| f.parse::<u64>().ok());
-            let (warm, began) = (figures.next(), figures.next().unwrap_or(asked));
-            (End::Served, (warm == Some(0)).then(|| began.saturating_sub(asked)))
+            let mut numbers = body.split(' ').filter_map(|f| f.parse::<u64>().ok());
+            let (warm, started) = (numbers.next(), numbers.next().unwrap_or(sent));
+            (CallOutcome::Served, (warm == Some(0)).then(|| started.saturating_sub(sent)))
         }
-        "429" | "503" | "" => (End::Refused, None),
-        _ => (End::Failed, None),
+        "429" | "503" | "" => (CallOutcome::Refused, None),
+        _ => (CallOutcome::Failed, None),
     }
 }
--- a/scale/src/node/mod.rs
+++ b/scale/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! Real front-end processes, as the deploy file starts them, on loopback sockets: with the whole list of workers
-//! and a real front end's share of calls, before hollow workers, a hollow board and hollow clients.
+//! Runs of real front-end processes, started as the deploy file says, on loopback sockets. Each has the whole worker
+//! list and a front end's share of the calls, against simulated workers, clients and a simulated discovery server.
 //!
-//! Front ends that do not run show at the workers as load and as copies (see [`crate::world::Others`]) and at the
-//! board as changes of the list.
-mod board;
+//! Front ends that do not run are simulated as load and copies at the workers (see [`crate::world::BackgroundLoad`])
+//! and as changes of the worker list.
 pub(crate) mod clients;
 mod deploy;
+mod discovery;
 mod process;
 mod run;
 pub mod usage;
--- a/scale/src/node/process.rs
+++ b/scale/src/node/process.rs
@@ -1,4 +1,4 @@
-//! One real front-end process: its start, its log, and its end with the run.
+//! A real front-end process and its log.
 use super::Deploy;
 use std::collections::VecDeque;
 use std::io;
@@ -11,56 +11,56 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-/// Lines of a log that are kept for messages.
-const LINES_KEPT: usize = 20;
+/// Last lines of a log that are kept for error messages.
+const MAX_TAIL_LINES: usize = 20;
 
-/// What a front end's log has told.
+/// What was read from the log of a front end.
 #[derive(Debug, Default)]
 pub struct Log {
-    last: VecDeque<String>,
-    /// Lines in all.
-    pub lines: u64,
-    /// When each worker of the list was first told to be ready.
-    pub members: Vec<(String, Instant)>,
+    tail: VecDeque<String>,
+    /// Number of all lines.
+    pub line_count: u64,
+    /// The workers that the log reports as ready, each with the time of its line.
+    pub ready_workers: Vec<(String, Instant)>,
 }
 
 impl Log {
-    fn take(&mut self, line: String) {
-        self.lines += 1;
-        if let Some((id, _)) = line.strip_prefix("member ").and_then(|l| l.split_once(": Ready")) {
-            self.members.push((id.to_owned(), Instant::now()));
+    fn add_line(&mut self, line: String) {
+        self.line_count += 1;
+        if let Some((worker, _)) = line.strip_prefix("member ").and_then(|l| l.split_once(": Ready")) {
+            self.ready_workers.push((worker.to_owned(), Instant::now()));
         }
-        if self.last.len() == LINES_KEPT {
-            self.last.pop_front();
+        if self.tail.len() == MAX_TAIL_LINES {
+            self.tail.pop_front();
         }
-        self.last.push_back(line);
+        self.tail.push_back(line);
     }
 
-    /// The last lines.
+    /// The last lines, each indented.
     pub fn tail(&self) -> String {
-        self.last.iter().map(|l| format!("  {l}\n")).collect()
+        self.tail.iter().map(|l| format!("  {l}\n")).collect()
     }
 }
 
-/// A front end that runs. It is killed when this is dropped.
+/// A running front end. It is killed when this is dropped.
 pub struct FrontEndProcess {
     child: Child,
-    /// Its process number.
-    pub id: u32,
+    /// Its process ID.
+    pub pid: u32,
     /// Its log.
     pub log: Arc<Mutex<Log>>,
-    listens: watch::Receiver<Option<SocketAddr>>,
+    listen_address: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl FrontEndProcess {
-    /// Starts one with this configuration file.
+    /// Starts a front end with this configuration file.
     ///
     /// # Errors
-    /// Fails if no process can be started.
+    /// Fails if the process cannot be started.
     pub fn start(deploy: &Deploy, name: &str, config: &Path) -> io::Result<FrontEndProcess> {
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &deploy.run])
-            .current_dir(&deploy.root)
+            .args(["-c", &deploy.command])
+            .current_dir(&deploy.working_directory)
             .env("NODE_CONFIG", config)
             .env("NODE_NAME", name)
             .env("NODE_LISTEN", "127.0.0.1:0")
@@ -69,42 +69,45 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let id = child.id().unwrap_or(0);
-        let stderr = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+        let pid = child.id().unwrap_or(0);
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("the process has no standard error stream"))?;
         let log = Arc::new(Mutex::new(Log::default()));
-        let (tell, listens) = watch::channel(None);
-        let (kept, prefix) = (log.clone(), format!("start: {name} listens on "));
+        let (address_sender, listen_address) = watch::channel(None);
+        let (shared_log, prefix) = (log.clone(), format!("start: {name} listens on "));
         tokio::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Some(address) = line.strip_prefix(&prefix).and_then(|a| a.parse().ok()) {
-                    let _ = tell.send(Some(address)); // nobody waits for it after the start
+                    let _ = address_sender.send(Some(address)); // nobody waits for it after the start
                 }
-                if let Ok(mut log) = kept.lock() {
-                    log.take(line);
+                if let Ok(mut log) = shared_log.lock() {
+                    log.add_line(line);
                 }
             }
         });
-        Ok(FrontEndProcess { child, id, log, listens })
+        Ok(FrontEndProcess { child, pid, log, listen_address })
     }
 
-    /// Where it listens, once it does; nothing if it ends before.
-    pub async fn address(&mut self) -> Option<SocketAddr> {
-        self.listens.wait_for(Option::is_some).await.ok().and_then(|a| *a)
+    /// Waits until it listens and returns its address; `None` if it ends before.
+    pub async fn listen_address(&mut self) -> Option<SocketAddr> {
+        self.listen_address.wait_for(Option::is_some).await.ok().and_then(|a| *a)
     }
 
-    /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Its exit status, if it has ended.
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Ends it and waits for its end.
+    /// Kills it and waits for its end.
     pub async fn kill(&mut self) {
-        let _ = self.child.kill().await; // it may have ended by itself
+        let _ = self.child.kill().await; // it may have ended already
     }
 
-    /// The last lines of its log.
-    pub fn tail(&self) -> String {
+    /// The last lines of its log, each indented.
+    pub fn log_tail(&self) -> String {
         self.log.lock().map(|l| l.tail()).unwrap_or_default()
     }
 }
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -1,16 +1,16 @@
-//! A run of real front ends: start, readiness, calls, changes of the list, and the figures.
-use super::board::Board;
+//! A run of real front ends: start, readiness, calls, changes of the worker list, and the measurements.
 use super::clients::{is_ready, Clients};
-use super::deploy::{node_config, Deploy, DeployError};
+use super::deploy::{front_end_config, Deploy, DeployError};
+use super::discovery::DiscoveryServer;
 use super::process::FrontEndProcess;
 use super::usage::Usage;
-use super::workers::{Kind, Workers};
+use super::workers::Workers;
 use crate::catalogue::Catalogue;
 use crate::experiment::Experiment;
-use crate::fleet::calls::{CallBook, Times};
-use crate::report::{CallReport, Machine, NodeControl, NodeFrontEnd, NodeReport, Shape};
+use crate::fleet::calls::{CallRecord, CallStatistics, DurationHistogram};
+use crate::report::{CallReport, ExperimentSize, Machine, NodeControl, NodeFrontEnd, NodeReport};
 use crate::time::{milliseconds, seconds, RealClock};
-use crate::world::{Change, List, Schedule, Timed, World};
+use crate::world::{Change, Schedule, ScheduledChange, WorkerList, World};
 use heronslip_policy::{Micros, Settings};
 use miniserde::json::Object;
 use std::collections::HashMap;
@@ -21,11 +21,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-/// A front end that is not ready within this is measured as it is.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// How often the run looks at its front ends.
-const LOOK: Duration = Duration::from_millis(50);
-/// Rank of the functions' seed against that of the clients.
+/// How long to wait for the front ends to become ready; the run starts even if some are not.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often the front ends are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Separates the clients' random numbers from those of the functions.
 const CLIENT_SEED: u64 = 0x636c_6965_6e74;
 
 /// Why a run of real front ends could not be finished.
@@ -34,49 +34,49 @@
     /// The deploy or settings file cannot be used.
     #[error(transparent)]
     Deploy(#[from] DeployError),
-    /// The system refused something.
-    #[error("{what}: {source}")]
+    /// A system call failed.
+    #[error("{action}: {source}")]
     System {
-        /// What was wanted.
-        what: &'static str,
+        /// What failed.
+        action: &'static str,
         /// Why it failed.
         source: io::Error,
     },
-    /// A front end ended by itself.
-    #[error("front end n{front_end} ended ({how}); its log's last lines:\n{tail}")]
+    /// A front end ended before the run did.
+    #[error("front end n{front_end} ended ({status}); last lines of its log:\n{log_tail}")]
     Ended {
-        /// Which.
+        /// Number of the front end.
         front_end: usize,
-        /// How.
-        how: String,
+        /// Its exit status.
+        status: String,
         /// The last lines of its log.
-        tail: String,
+        log_tail: String,
     },
     /// The run was interrupted.
     #[error("interrupted")]
     Interrupted,
 }
 
-fn system(what: &'static str) -> impl Fn(io::Error) -> NodeError {
-    move |source| NodeError::System { what, source }
+fn system(action: &'static str) -> impl Fn(io::Error) -> NodeError {
+    move |source| NodeError::System { action, source }
 }
 
-/// Runs an experiment against real front ends. No process of it is left when this returns.
+/// Runs an experiment against real front ends. All their processes have ended when this returns.
 ///
 /// # Errors
 /// Fails if something cannot be started, a front end ends by itself, or the run is interrupted.
 pub async fn run(
-    experiment: &Experiment, settings: Settings, told: &Object, deploy: &Deploy,
+    experiment: &Experiment, settings: Settings, settings_json: &Object, deploy: &Deploy,
 ) -> Result<NodeReport, NodeError> {
     let mut front_ends = Vec::new();
-    let played = tokio::select! {
-        played = play(experiment, settings, told, deploy, &mut front_ends) => played,
+    let result = tokio::select! {
+        result = run_experiment(experiment, settings, settings_json, deploy, &mut front_ends) => result,
         () = interrupted() => Err(NodeError::Interrupted),
     };
     for front_end in &mut front_ends {
         front_end.process.kill().await;
     }
-    played
+    result
 }
 
 /// Waits for SIGINT or SIGTERM.
@@ -93,141 +93,157 @@
     }
 }
 
-struct Running {
+/// A front end of the run.
+struct RunningFrontEnd {
     process: FrontEndProcess,
     address: std::net::SocketAddr,
+    /// Seconds from the start of the run until it was ready.
     ready_s: Option<f64>,
-    /// At the begin of the counted time.
-    before: Usage,
+    /// Its usage at the start of the counted time.
+    start_usage: Usage,
 }
 
-/// A folder for configurations, removed with the run.
-struct Folder(PathBuf);
+/// A temporary directory for the configuration files, removed when the run ends.
+struct ConfigDirectory(PathBuf);
 
-impl Folder {
-    fn new() -> io::Result<Folder> {
+impl ConfigDirectory {
+    fn new() -> io::Result<ConfigDirectory> {
         let path = std::env::temp_dir().join(format!("heronslip-scale-{}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(ConfigDirectory(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for ConfigDirectory {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // what is left lies in the system's folder for such files
+        let _ = std::fs::remove_dir_all(&self.0); // a leftover is in the system's temporary directory
     }
 }
 
-async fn play(
-    experiment: &Experiment, settings: Settings, told: &Object, deploy: &Deploy,
-    front_ends: &mut Vec<Running>,
+async fn run_experiment(
+    experiment: &Experiment, settings: Settings, settings_json: &Object, deploy: &Deploy,
+    front_ends: &mut Vec<RunningFrontEnd>,
 ) -> Result<NodeReport, NodeError> {
-    let began = Instant::now();
+    let started = Instant::now();
     let catalogue = Arc::new(Catalogue::new(experiment));
     let ranks = catalogue.functions.iter().enumerate().map(|(rank, f)| (f.id, rank)).collect();
     let world = World::new(experiment, &settings, catalogue.clone());
     let count = experiment.fleet.workers as usize;
-    let workers = Workers::start(world, count, ranks).await.map_err(system("workers' listeners"))?;
-    let list = List::new(experiment, settings.kind_memory_mb.len());
-    let board = Board::start(list, workers.addresses.clone(), settings.kinds.clone());
-    let board = board.await.map_err(system("the board's listener"))?;
-    let folder = Folder::new().map_err(system("a folder for configurations"))?;
-    let known =
-        if experiment.node.told_at_start { board.known() } else { r#"{"rev":0,"notices":[]}"#.to_owned() };
+    let workers = Workers::start(world, count, ranks).await.map_err(system("listening for the workers"))?;
+    let list = WorkerList::new(experiment, settings.kind_memory_mb.len());
+    let discovery = DiscoveryServer::start(list, workers.addresses.clone(), settings.kinds.clone());
+    let discovery = discovery.await.map_err(system("listening for the discovery server"))?;
+    let directory = ConfigDirectory::new().map_err(system("creating the directory for configurations"))?;
+    let known_list = if experiment.node.list_in_configuration {
+        discovery.known_list()
+    } else {
+        r#"{"rev":0,"notices":[]}"#.to_owned()
+    };
     for n in 0..experiment.fleet.front_ends as usize {
-        let config = folder.0.join(format!("n{n}.json"));
-        let text = node_config(experiment, told, n, board.address, &known);
-        std::fs::write(&config, text).map_err(system("a configuration"))?;
-        let mut process =
-            FrontEndProcess::start(deploy, &format!("n{n}"), &config).map_err(system("a front end"))?;
-        let listens = tokio::time::timeout(READY_WITHIN, process.address()).await;
-        let Ok(Some(address)) = listens else {
-            tokio::time::sleep(LOOK).await; // its end and the last of its log come after the log's end
-            let how = process.ended().unwrap_or_else(|| "it does not listen".to_owned());
-            return Err(NodeError::Ended { front_end: n, how, tail: process.tail() });
+        let config = directory.0.join(format!("n{n}.json"));
+        let text = front_end_config(experiment, settings_json, n, discovery.address, &known_list);
+        std::fs::write(&config, text).map_err(system("writing a configuration"))?;
+        let mut process = FrontEndProcess::start(deploy, &format!("n{n}"), &config)
+            .map_err(system("starting a front end"))?;
+        let listening = tokio::time::timeout(READY_TIMEOUT, process.listen_address()).await;
+        let Ok(Some(address)) = listening else {
+            tokio::time::sleep(POLL_INTERVAL).await; // for its exit status and last log lines, which may come after the log ends
+            let status = process.exit_status().unwrap_or_else(|| "it does not listen".to_owned());
+            return Err(NodeError::Ended { front_end: n, status, log_tail: process.log_tail() });
         };
         tracing::info!(front_end = n, %address, "started");
-        front_ends.push(Running { process, address, ready_s: None, before: Usage::default() });
+        front_ends.push(RunningFrontEnd { process, address, ready_s: None, start_usage: Usage::default() });
     }
-    become_ready(front_ends, began).await?;
+    wait_until_ready(front_ends, started).await?;
     let settings = Arc::new(settings);
-    let mut run =
-        Run { experiment, board, workers, clock: RealClock::start(), spreads: HashMap::new(), cut: None };
-    let (ended, calls) = unbounded_channel();
+    let mut run = Run {
+        experiment,
+        discovery,
+        workers,
+        clock: RealClock::start(),
+        listed_at: HashMap::new(),
+        cut_ended_at: None,
+    };
+    let (record_sender, records) = unbounded_channel();
     let start = run.clock.now();
-    let book = CallBook::new(&settings, start, start + seconds(experiment.warm_up_s));
+    let statistics = CallStatistics::new(&settings, start, start + seconds(experiment.warm_up_s));
     let mut clients = tokio::task::JoinSet::new();
     for (n, front_end) in front_ends.iter().enumerate() {
         let seed = experiment.seed ^ CLIENT_SEED ^ (n as u64) << 32;
         let calls_per_s = experiment.calls.per_front_end_s;
-        let (catalogue, settings, ended) = (catalogue.clone(), settings.clone(), ended.clone());
+        let (catalogue, settings, records) = (catalogue.clone(), settings.clone(), record_sender.clone());
         let address = front_end.address;
-        clients.spawn(Clients::new(address, seed, calls_per_s, catalogue, settings, run.clock, ended).run());
+        clients
+            .spawn(Clients::new(address, seed, calls_per_s, catalogue, settings, run.clock, records).run());
     }
-    drop(ended);
-    run.measure(front_ends, start, book, calls, began).await
+    drop(record_sender);
+    run.measure(front_ends, start, statistics, records, started).await
 }
 
-/// Waits until all front ends are ready, or [`READY_WITHIN`] has passed.
-async fn become_ready(front_ends: &mut [Running], began: Instant) -> Result<(), NodeError> {
-    while began.elapsed() < READY_WITHIN && front_ends.iter().any(|f| f.ready_s.is_none()) {
+/// Waits until all front ends are ready, or [`READY_TIMEOUT`] has passed.
+async fn wait_until_ready(front_ends: &mut [RunningFrontEnd], started: Instant) -> Result<(), NodeError> {
+    while started.elapsed() < READY_TIMEOUT && front_ends.iter().any(|f| f.ready_s.is_none()) {
         for (n, front_end) in front_ends.iter_mut().enumerate() {
-            alive(n, front_end)?;
+            check_running(n, front_end)?;
             if front_end.ready_s.is_none() && is_ready(front_end.address).await {
-                front_end.ready_s = Some(began.elapsed().as_secs_f64());
+                front_end.ready_s = Some(started.elapsed().as_secs_f64());
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-fn alive(number: usize, front_end: &mut Running) -> Result<(), NodeError> {
-    match front_end.process.ended() {
-        Some(how) => Err(NodeError::Ended { front_end: number, how, tail: front_end.process.tail() }),
+/// Fails if a front end has ended.
+fn check_running(number: usize, front_end: &mut RunningFrontEnd) -> Result<(), NodeError> {
+    match front_end.process.exit_status() {
+        Some(status) => {
+            Err(NodeError::Ended { front_end: number, status, log_tail: front_end.process.log_tail() })
+        }
         None => Ok(()),
     }
 }
 
-/// Counters at one moment.
+/// A snapshot of the traffic counters: bytes, and requests to the discovery server.
 #[derive(Clone, Copy, Default)]
 struct Counters {
-    orders: (u64, u64),
-    questions: (u64, u64),
-    keep_alives: (u64, u64),
-    probes: (u64, u64),
-    calls: (u64, u64),
+    command_bytes: u64,
+    query_bytes: u64,
+    keep_alive_bytes: u64,
+    probe_bytes: u64,
+    call_bytes: u64,
     list_bytes: u64,
-    board_calls: u64,
+    discovery_requests: u64,
 }
 
 struct Run<'a> {
     experiment: &'a Experiment,
-    board: Board,
+    discovery: DiscoveryServer,
     workers: Workers,
     clock: RealClock,
-    /// Workers that were listed anew, and when.
-    spreads: HashMap<String, Instant>,
-    cut: Option<Instant>,
+    /// When each new worker of the run was listed, by its name.
+    listed_at: HashMap<String, Instant>,
+    cut_ended_at: Option<Instant>,
 }
 
 impl Run<'_> {
     fn counters(&self) -> Counters {
-        let (traffic, board) = (&self.workers.traffic, self.board.counts());
+        let (traffic, discovery) = (&self.workers.traffic, self.discovery.counts());
         Counters {
-            orders: traffic.orders.read(),
-            questions: traffic.questions.read(),
-            keep_alives: traffic.keep_alives.read(),
-            probes: traffic.probes.read(),
-            calls: Kind::read(&traffic.calls),
-            list_bytes: board.bytes.load(Ordering::Relaxed),
-            board_calls: board.calls.load(Ordering::Relaxed),
+            command_bytes: traffic.commands.total(),
+            query_bytes: traffic.copy_queries.total(),
+            keep_alive_bytes: traffic.keep_alives.total(),
+            probe_bytes: traffic.probes.total(),
+            call_bytes: traffic.calls.total(),
+            list_bytes: discovery.bytes.load(Ordering::Relaxed),
+            discovery_requests: discovery.requests.load(Ordering::Relaxed),
         }
     }
 
+    /// Applies the schedule and collects the calls until the run ends, then makes the report.
     async fn measure(
-        &mut self, front_ends: &mut [Running], start: Micros, mut book: CallBook,
-        mut calls: UnboundedReceiver<crate::fleet::calls::CallRecord>, began: Instant,
+        &mut self, front_ends: &mut [RunningFrontEnd], start: Micros, mut statistics: CallStatistics,
+        mut records: UnboundedReceiver<CallRecord>, started: Instant,
     ) -> Result<NodeReport, NodeError> {
         let experiment = self.experiment;
         let mut schedule = Schedule::new(experiment);
@@ -237,115 +253,119 @@
             let now = self.clock.now();
             if now >= from && counted_from.is_none() {
                 before = self.counters();
-                front_ends.iter_mut().for_each(|f| f.before = Usage::of(f.process.id));
+                front_ends.iter_mut().for_each(|f| f.start_usage = Usage::of(f.process.pid));
                 counted_from = Some(Instant::now());
             }
-            while let Some(timed) = schedule.due(now - start) {
-                self.change(timed);
+            while let Some(scheduled) = schedule.pop_due(now - start) {
+                self.apply(scheduled);
             }
-            while let Ok(call) = calls.try_recv() {
-                book.add(&call);
+            while let Ok(call) = records.try_recv() {
+                statistics.add(&call);
             }
             for (n, front_end) in front_ends.iter_mut().enumerate() {
-                alive(n, front_end)?;
+                check_running(n, front_end)?;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let span = counted_from.map_or(1.0, |at| at.elapsed().as_secs_f64());
+        let counted_s = counted_from.map_or(1.0, |at| at.elapsed().as_secs_f64());
         let (after, count) = (self.counters(), front_ends.len() as f64);
-        let rate = |now: u64, then: u64| (now - then) as f64 / count / span;
-        let kind = |now: (u64, u64), then: (u64, u64)| rate(now.1, then.1);
-        let each: Vec<NodeFrontEnd> = front_ends.iter().map(|f| figures(f, span)).collect();
+        let rate = |after: u64, before: u64| (after - before) as f64 / count / counted_s;
+        let front_end_reports: Vec<NodeFrontEnd> =
+            front_ends.iter().map(|f| measure_front_end(f, counted_s)).collect();
         Ok(NodeReport {
-            shape: Shape::of(experiment, self.rare()),
-            told_at_start: experiment.node.told_at_start,
+            size: ExperimentSize::of(experiment, self.rare_function_share()),
+            list_in_configuration: experiment.node.list_in_configuration,
             calls: CallReport {
-                counts: book.counts(),
-                latency: book.latency().quantiles(),
-                cold_start: book.cold_start().quantiles(),
-                cold_within_1500_ms: book.cold_start().within(milliseconds(1_500.0)),
+                counts: statistics.counts(),
+                latency: statistics.latency().quantiles(),
+                cold_start: statistics.cold_start().quantiles(),
+                cold_within_1500_ms: statistics.cold_start().share_within(milliseconds(1_500.0)),
             },
             control: NodeControl {
                 list_bytes_s: rate(after.list_bytes, before.list_bytes),
-                order_bytes_s: kind(after.orders, before.orders),
-                question_bytes_s: kind(after.questions, before.questions),
-                keep_alive_bytes_s: kind(after.keep_alives, before.keep_alives),
-                probe_bytes_s: kind(after.probes, before.probes),
-                call_bytes_s: kind(after.calls, before.calls),
-                board_calls_s: rate(after.board_calls, before.board_calls),
-                whole_lists: self.board.counts().whole_lists.load(Ordering::Relaxed),
+                command_bytes_s: rate(after.command_bytes, before.command_bytes),
+                query_bytes_s: rate(after.query_bytes, before.query_bytes),
+                keep_alive_bytes_s: rate(after.keep_alive_bytes, before.keep_alive_bytes),
+                probe_bytes_s: rate(after.probe_bytes, before.probe_bytes),
+                call_bytes_s: rate(after.call_bytes, before.call_bytes),
+                discovery_requests_s: rate(after.discovery_requests, before.discovery_requests),
+                whole_lists: self.discovery.counts().whole_lists.load(Ordering::Relaxed),
             },
-            known_everywhere: self.known(front_ends).quantiles(),
-            reconnected: self.reconnected().quantiles(),
-            workers_connected: self.workers.traffic.open.load(Ordering::Relaxed) as f64 / count,
-            front_ends: each,
-            machine: Machine::measure(began),
+            propagation: self.propagation_times(front_ends).quantiles(),
+            reconnect: self.reconnect_times().quantiles(),
+            worker_connections: self.workers.traffic.open_connections.load(Ordering::Relaxed) as f64 / count,
+            front_ends: front_end_reports,
+            machine: Machine::measure(started),
         })
     }
 
-    fn rare(&self) -> f64 {
-        let total = f64::from(self.experiment.fleet.told()) * self.experiment.calls.per_front_end_s;
-        Catalogue::new(self.experiment).rare(total)
+    fn rare_function_share(&self) -> f64 {
+        let total_calls_s =
+            f64::from(self.experiment.fleet.configured()) * self.experiment.calls.per_front_end_s;
+        Catalogue::new(self.experiment).rare_share(total_calls_s)
     }
 
-    fn change(&mut self, timed: Timed) {
-        match timed.change {
-            Change::WorkersReplaced(which) => {
-                self.workers.replace(which.clone());
+    fn apply(&mut self, scheduled: ScheduledChange) {
+        match scheduled.change {
+            Change::WorkersReplaced(workers) => {
+                self.workers.replace(workers.clone());
                 let now = Instant::now();
-                for name in self.board.replace(self.clock.now(), &which) {
-                    self.spreads.insert(name, now);
+                for name in self.discovery.replace(self.clock.now(), &workers) {
+                    self.listed_at.insert(name, now);
                 }
             }
-            Change::BoardCut(_) => self.board.cut(),
-            Change::BoardHealed(_) => {
-                self.board.heal();
-                self.cut = Some(Instant::now());
+            Change::DiscoveryCut(_) => self.discovery.cut(),
+            Change::DiscoveryRestored(_) => {
+                self.discovery.restore();
+                self.cut_ended_at = Some(Instant::now());
             }
-            other => tracing::warn!(?other, "not played with real front ends"),
+            other => tracing::warn!(?other, "change is not supported with real front ends; ignored"),
         }
     }
 
-    /// From each new worker's listing until every front end has it, by the front ends' logs.
-    fn known(&self, front_ends: &[Running]) -> Times {
-        let mut last: HashMap<&str, (usize, Instant)> = HashMap::new();
+    /// Times from when each new worker was listed until the logs of all front ends have it.
+    fn propagation_times(&self, front_ends: &[RunningFrontEnd]) -> DurationHistogram {
+        // For each new worker: how many logs have it, and when the last of them got it.
+        let mut reported: HashMap<&str, (usize, Instant)> = HashMap::new();
         let logs: Vec<Vec<(String, Instant)>> = front_ends
             .iter()
-            .map(|f| f.process.log.lock().map(|l| l.members.clone()).unwrap_or_default())
+            .map(|f| f.process.log.lock().map(|l| l.ready_workers.clone()).unwrap_or_default())
             .collect();
-        for (name, at) in logs.iter().flatten().filter(|(name, _)| self.spreads.contains_key(name)) {
-            let entry = last.entry(name).or_insert((0, *at));
+        for (name, at) in logs.iter().flatten().filter(|(name, _)| self.listed_at.contains_key(name)) {
+            let entry = reported.entry(name).or_insert((0, *at));
             *entry = (entry.0 + 1, entry.1.max(*at));
         }
-        let mut times = Times::default();
-        for (name, (heard, at)) in last {
-            if let Some(since) = self.spreads.get(name).filter(|_| heard >= front_ends.len()) {
+        let mut times = DurationHistogram::default();
+        for (name, (count, at)) in reported {
+            if let Some(since) = self.listed_at.get(name).filter(|_| count >= front_ends.len()) {
                 times.add(at.saturating_duration_since(*since).as_micros() as Micros);
             }
         }
         times
     }
 
-    /// From the end of the board's cut until each call that came after it.
-    fn reconnected(&self) -> Times {
-        let mut times = Times::default();
-        let (Some(since), Ok(calls)) = (self.cut, self.board.counts().after_heal.lock()) else {
+    /// Times from the end of the discovery server's cut until each request that came after it.
+    fn reconnect_times(&self) -> DurationHistogram {
+        let mut times = DurationHistogram::default();
+        let (Some(since), Ok(requests)) =
+            (self.cut_ended_at, self.discovery.counts().requests_after_cut.lock())
+        else {
             return times;
         };
-        calls.iter().for_each(|at| times.add(at.saturating_duration_since(since).as_micros() as Micros));
+        requests.iter().for_each(|at| times.add(at.saturating_duration_since(since).as_micros() as Micros));
         times
     }
 }
 
-fn figures(front_end: &Running, span: f64) -> NodeFrontEnd {
-    let now = Usage::of(front_end.process.id);
+fn measure_front_end(front_end: &RunningFrontEnd, counted_s: f64) -> NodeFrontEnd {
+    let usage = Usage::of(front_end.process.pid);
     NodeFrontEnd {
         ready_s: front_end.ready_s,
-        memory_mb: now.memory_mb,
-        peak_mb: now.peak_mb,
-        core_share: (now.cpu_s - front_end.before.cpu_s) / span,
-        start_cpu_s: front_end.before.cpu_s,
-        descriptors: now.descriptors,
-        log_lines: front_end.process.log.lock().map_or(0, |l| l.lines),
+        memory_mb: usage.memory_mb,
+        peak_mb: usage.peak_mb,
+        core_share: (usage.cpu_s - front_end.start_usage.cpu_s) / counted_s,
+        start_cpu_s: front_end.start_usage.cpu_s,
+        descriptors: usage.descriptors,
+        log_lines: front_end.process.log.lock().map_or(0, |l| l.line_count),
     }
 }
--- a/scale/src/node/wire.rs
+++ b/scale/src/node/wire.rs
@@ -1,5 +1,5 @@
-//! The two protocols round a front end, from their published pages: FastCGI 1.0 as its clients speak it, and the
-//! binary frames as workers do.
+//! The two protocols of a front end, implemented from their specifications: FastCGI 1.0 for its clients, and binary
+//! frames for its workers.
 use std::io;
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt};
@@ -14,14 +14,14 @@
 const KEEP_CONNECTION: u8 = 1;
 const RESPONDER: u8 = 1;
 
-fn record(kind: u8, id: u16, content: &[u8], out: &mut Vec<u8>) {
+fn push_record(kind: u8, id: u16, content: &[u8], out: &mut Vec<u8>) {
     let ([i0, i1], [c0, c1]) = (id.to_be_bytes(), (content.len() as u16).to_be_bytes());
     out.extend([VERSION, kind, i0, i1, c0, c1, 0, 0]);
     out.extend(content);
 }
 
-/// A whole request; parameters and body must each fit in one record.
-pub fn request(id: u16, params: &[(&str, String)], body: &[u8]) -> Vec<u8> {
+/// Encodes a request; parameters and body must each fit in one record.
+pub fn encode_request(id: u16, params: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let mut pairs = Vec::new();
     for (name, value) in params {
         pairs.push(name.len() as u8);
@@ -33,38 +33,38 @@
         pairs.extend(value.as_bytes());
     }
     let mut out = Vec::new();
-    record(BEGIN_REQUEST, id, &[0, RESPONDER, KEEP_CONNECTION, 0, 0, 0, 0, 0], &mut out);
-    record(PARAMS, id, &pairs, &mut out);
-    record(PARAMS, id, &[], &mut out);
+    push_record(BEGIN_REQUEST, id, &[0, RESPONDER, KEEP_CONNECTION, 0, 0, 0, 0, 0], &mut out);
+    push_record(PARAMS, id, &pairs, &mut out);
+    push_record(PARAMS, id, &[], &mut out);
     if !body.is_empty() {
-        record(STDIN, id, body, &mut out);
+        push_record(STDIN, id, body, &mut out);
     }
-    record(STDIN, id, &[], &mut out);
+    push_record(STDIN, id, &[], &mut out);
     out
 }
 
-/// The record that takes a request back.
-pub fn abort(id: u16) -> Vec<u8> {
+/// Encodes the record that aborts a request.
+pub fn encode_abort(id: u16) -> Vec<u8> {
     let mut out = Vec::new();
-    record(ABORT_REQUEST, id, &[], &mut out);
+    push_record(ABORT_REQUEST, id, &[], &mut out);
     out
 }
 
-/// One record of an answer.
+/// A record of a response.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// A part of the CGI response to this request.
+    /// A fragment of the CGI response to the request of this ID.
     Output(u16, Vec<u8>),
-    /// The request is done.
+    /// The request of this ID has ended.
     End(u16),
-    /// Something else.
+    /// Any other record.
     Other,
 }
 
 /// Reads the next record.
 ///
 /// # Errors
-/// Fails with the connection.
+/// Fails if the connection fails or ends.
 pub async fn read_record(from: &mut (impl AsyncRead + Unpin)) -> io::Result<Record> {
     let mut head = [0; 8];
     from.read_exact(&mut head).await?;
@@ -81,26 +81,30 @@
     })
 }
 
-const FROM_FRONT_END: u8 = 126;
-const FROM_WORKER: u8 = 127;
-const HEADER: usize = 16;
-const CHECK: usize = 4;
-/// Longest frame that a hollow worker takes.
-const LONGEST: usize = 64 * 1024;
+/// First byte of a frame from a front end.
+const FRONT_END_MAGIC: u8 = 126;
+/// First byte of a frame from a worker.
+const WORKER_MAGIC: u8 = 127;
+/// Bytes of a frame before its fields.
+const HEADER_LEN: usize = 16;
+/// Bytes of the checksum at the end of a frame.
+const CHECKSUM_LEN: usize = 4;
+/// Longest body of a frame that a simulated worker accepts.
+const MAX_BODY_LEN: usize = 64 * 1024;
 
-/// A frame that came from a front end.
+/// A frame from a front end.
 #[derive(Debug)]
 pub struct Frame {
-    /// Its code.
+    /// What kind of message it is.
     pub code: u8,
-    /// Its id.
+    /// ID of the call or command it belongs to.
     pub id: u64,
-    /// `name=value,name=value`.
+    /// Its fields, as `name=value,name=value`.
     pub fields: String,
-    /// Bytes it took on the wire.
+    /// Its size on the wire.
     pub bytes: usize,
     /// When its first byte was read.
-    pub began: Instant,
+    pub received: Instant,
 }
 
 impl Frame {
@@ -113,34 +117,34 @@
 /// Reads the next frame.
 ///
 /// # Errors
-/// Fails with the connection, or if what comes is no frame.
+/// Fails if the connection fails or ends, or if the data is not a valid frame.
 pub async fn read_frame(from: &mut (impl AsyncRead + Unpin)) -> io::Result<Frame> {
-    let mut head = [0; HEADER];
+    let mut head = [0; HEADER_LEN];
     from.read_exact(&mut head[..1]).await?;
-    let began = Instant::now();
+    let received = Instant::now();
     from.read_exact(&mut head[1..]).await?;
-    let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = head;
+    let [magic, code, f0, f1, b0, b1, b2, b3, id @ ..] = head;
     let fields = usize::from(u16::from_be_bytes([f0, f1]));
     let body = u32::from_be_bytes([b0, b1, b2, b3]) as usize;
-    if mark != FROM_FRONT_END || body > LONGEST {
-        return Err(io::Error::other("no frame of a front end"));
+    if magic != FRONT_END_MAGIC || body > MAX_BODY_LEN {
+        return Err(io::Error::other("invalid frame from a front end"));
     }
-    let mut rest = vec![0; fields + body + CHECK];
+    let mut rest = vec![0; fields + body + CHECKSUM_LEN];
     from.read_exact(&mut rest).await?;
     let fields_text = String::from_utf8_lossy(&rest[..fields]).into_owned();
-    let bytes = HEADER + rest.len();
-    Ok(Frame { code, id: u64::from_be_bytes(id), fields: fields_text, bytes, began })
+    let bytes = HEADER_LEN + rest.len();
+    Ok(Frame { code, id: u64::from_be_bytes(id), fields: fields_text, bytes, received })
 }
 
-/// A worker's answer as bytes.
-pub fn answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut frame = vec![FROM_WORKER, code];
+/// Encodes a worker's reply.
+pub fn encode_reply(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+    let mut frame = vec![WORKER_MAGIC, code];
     frame.extend((fields.len() as u16).to_be_bytes());
     frame.extend((body.len() as u32).to_be_bytes());
     frame.extend(id.to_be_bytes());
     frame.extend(fields.as_bytes());
     frame.extend(body);
-    let check = crc32fast::hash(&frame[HEADER..]);
-    frame.extend(check.to_be_bytes());
+    let checksum = crc32fast::hash(&frame[HEADER_LEN..]);
+    frame.extend(checksum.to_be_bytes());
     frame
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,37 +1,39 @@
-//! What a run found: one JSON file and a Markdown table.
+//! The results of a run, as JSON and as a Markdown table.
 //!
-//! All of a fleet's report but `machine` is of the virtual clock, the same byte for byte in every run of the same
-//! file and seed.
+//! Except for `machine`, all values in the report of a fleet are on the virtual clock: every run of the same experiment
+//! and seed gives the same bytes.
 use crate::experiment::Experiment;
 use crate::fleet::calls::{CallCounts, Quantiles};
 use serde::Serialize;
 use std::fmt::Write;
 use std::time::Instant;
 
-/// A fleet's run.
+/// Results of a simulated fleet.
 #[derive(Debug, Serialize)]
 pub struct FleetReport {
-    /// What was run.
-    pub shape: Shape,
-    /// Calls.
+    /// Size of the experiment.
+    #[serde(rename = "shape")]
+    pub size: ExperimentSize,
+    /// Outcomes and latency of the calls.
     pub calls: CallReport,
-    /// Control traffic of a front end, on the mean.
+    /// Control traffic per front end, as the mean.
     pub control: ControlReport,
     /// Workers and store.
     pub workers: WorkerReport,
-    /// The board.
-    pub board: BoardReport,
-    /// Records that a front end's decision module keeps, on the mean, at the end.
+    /// The discovery server.
+    #[serde(rename = "board")]
+    pub discovery: DiscoveryReport,
+    /// State of a front end's controller at the end, as the mean.
     pub state: StateReport,
-    /// Failures and how long their effect lasted.
+    /// The failures and the recovery from them.
     pub failures: Vec<FailureReport>,
-    /// What the machine that ran it needed; no part of the result.
+    /// Resources that the run used; they differ between runs.
     pub machine: Machine,
 }
 
-/// The sizes of an experiment.
+/// Size of an experiment.
 #[derive(Debug, Serialize)]
-pub struct Shape {
+pub struct ExperimentSize {
     /// The experiment's name.
     pub name: String,
     /// Its seed.
@@ -39,114 +41,128 @@
     /// Front ends that ran.
     pub front_ends: u32,
     /// Front ends that the settings name.
-    pub told_front_ends: u32,
-    /// Workers listed.
+    #[serde(rename = "told_front_ends")]
+    pub configured_front_ends: u32,
+    /// Listed workers.
     pub workers: u32,
-    /// Functions.
+    /// Number of functions.
     pub functions: u32,
-    /// Exponent of the popularity.
+    /// Exponent of the functions' popularity.
     pub exponent: f64,
-    /// Part of the functions that are called less than once a minute by the whole fleet.
-    pub rare_functions: f64,
-    /// Calls a second at a front end.
+    /// Share of the functions that the whole fleet calls less than once a minute.
+    #[serde(rename = "rare_functions")]
+    pub rare_function_share: f64,
+    /// Calls per second at a front end.
     pub calls_s: f64,
     /// Length of the run, in seconds.
     pub duration_s: f64,
 }
 
-impl Shape {
-    /// The sizes of this experiment; `rare_functions` as [`crate::catalogue::Catalogue::rare`] tells.
-    pub fn of(experiment: &Experiment, rare_functions: f64) -> Self {
-        Shape {
+impl ExperimentSize {
+    /// The size of an experiment; `rare_function_share` is what [`crate::catalogue::Catalogue::rare_share`] returns.
+    pub fn of(experiment: &Experiment, rare_function_share: f64) -> Self {
+        ExperimentSize {
             name: experiment.name.clone(),
             seed: experiment.seed,
             front_ends: experiment.fleet.front_ends,
-            told_front_ends: experiment.fleet.told(),
+            configured_front_ends: experiment.fleet.configured(),
             workers: experiment.fleet.workers,
             functions: experiment.functions.count,
             exponent: experiment.functions.exponent,
-            rare_functions,
+            rare_function_share,
             calls_s: experiment.calls.per_front_end_s,
             duration_s: experiment.duration_s,
         }
     }
 }
 
-/// Calls after the warm-up.
+/// Outcomes and latency of the calls after the warm-up.
 #[derive(Debug, Serialize)]
 pub struct CallReport {
-    /// By how they ended.
+    /// Numbers of calls by outcome.
     pub counts: CallCounts,
-    /// From a served call's first try to its answer.
+    /// Latency of served calls, from when the client first sent them to their response.
     pub latency: Quantiles,
-    /// From a cold call's arrival to its begin at a worker.
+    /// Time from the arrival of a call at the front end to its start at a worker, of calls that waited for a load.
     pub cold_start: Quantiles,
-    /// Part of the cold starts that took 1.5 s at most.
+    /// Share of the cold starts that took at most 1.5 s.
     pub cold_within_1500_ms: f64,
 }
 
-/// Control traffic of a front end: bytes and messages a second.
+/// Control traffic per front end: bytes and messages per second.
 #[derive(Debug, Serialize)]
 pub struct ControlReport {
-    /// Changes of the list and the board's comments.
+    /// Changes of the worker list and the discovery server's comments.
     pub list_bytes_s: f64,
-    /// Orders to hold and to unload copies, and their answers.
-    pub hold_bytes_s: f64,
-    /// Questions and their answers.
-    pub question_bytes_s: f64,
-    /// Orders to hold copies.
-    pub holds_s: f64,
-    /// Questions.
-    pub questions_s: f64,
-    /// Orders to unload copies.
+    /// Load and unload commands and their replies.
+    #[serde(rename = "hold_bytes_s")]
+    pub load_bytes_s: f64,
+    /// Copy queries and their replies.
+    #[serde(rename = "question_bytes_s")]
+    pub query_bytes_s: f64,
+    /// Load commands.
+    #[serde(rename = "holds_s")]
+    pub loads_s: f64,
+    /// Copy queries.
+    #[serde(rename = "questions_s")]
+    pub copy_queries_s: f64,
+    /// Unload commands.
     pub unloads_s: f64,
-    /// Probes, over the whole run.
+    /// Probes.
     pub probes_s: f64,
 }
 
 /// Workers and store over the whole run.
 #[derive(Debug, Serialize)]
 pub struct WorkerReport {
-    /// Loads begun.
+    /// Loads started.
     pub loads: u64,
     /// Loads that failed.
     pub failed_loads: u64,
-    /// Copies unloaded for want of memory.
+    /// Copies unloaded to make room for others.
     pub evicted: u64,
-    /// Calls begun.
+    /// Calls started.
     pub calls: u64,
     /// Fetches from the store.
     pub fetches: u64,
-    /// Fetches that the store turned away.
-    pub fetches_turned_away: u64,
-    /// Workers to which a front end holds a connection at the end of the calls, on the mean.
-    pub connections_of_a_front_end: f64,
-    /// Front ends that hold a connection to a worker then, on the mean.
-    pub connections_of_a_worker: f64,
-    /// The most that hold one to a single worker then.
-    pub most_connections_of_a_worker: u32,
+    /// Fetches that the store rejected.
+    #[serde(rename = "fetches_turned_away")]
+    pub rejected_fetches: u64,
+    /// Workers that a front end has a connection to when the calls end, as the mean.
+    #[serde(rename = "connections_of_a_front_end")]
+    pub connections_per_front_end: f64,
+    /// Front ends that have a connection to a worker at that time, as the mean.
+    #[serde(rename = "connections_of_a_worker")]
+    pub connections_per_worker: f64,
+    /// The largest number of front ends that have a connection to the same worker at that time.
+    #[serde(rename = "most_connections_of_a_worker")]
+    pub max_connections_per_worker: u32,
 }
 
-/// The board.
+/// The discovery server.
 #[derive(Debug, Serialize)]
-pub struct BoardReport {
-    /// From a change of the list until every front end that watches knows it.
-    pub known_everywhere: Quantiles,
-    /// From the end of a cut until a front end is connected again.
-    pub reconnected: Quantiles,
-    /// Calls of the board that came to nothing while it was cut off.
-    pub failed_calls: u64,
-    /// Reconnects that were told what they had missed only.
+pub struct DiscoveryReport {
+    /// Time from a change of the worker list until every subscribed front end has applied it.
+    #[serde(rename = "known_everywhere")]
+    pub propagation: Quantiles,
+    /// Time from the end of a cut until a front end is connected again.
+    #[serde(rename = "reconnected")]
+    pub reconnect: Quantiles,
+    /// Requests that failed because the discovery server was cut off.
+    #[serde(rename = "failed_calls")]
+    pub failed_requests: u64,
+    /// Reconnects that got only the missed events.
     pub resumed: u64,
-    /// Reconnects that were told the whole list.
+    /// Reconnects that got the whole list.
     pub whole_lists: u64,
-    /// Most calls of the board, as a rate a second over a tenth of one.
-    pub peak_calls_s: u64,
-    /// Most bytes of the board's answers, likewise.
+    /// Most requests, as a rate per second over a tenth of a second.
+    #[serde(rename = "peak_calls_s")]
+    pub peak_requests_s: u64,
+    /// Most bytes of requests and responses, as a rate per second over a tenth of a second.
     pub peak_bytes_s: u64,
 }
 
-/// Records that a front end's decision module keeps.
+/// State that a front end's controller keeps.
 #[derive(Debug, Serialize)]
 pub struct StateReport {
     /// Workers.
@@ -155,49 +171,52 @@
     pub functions: usize,
     /// Pairs of a function and a worker.
     pub copies: usize,
-    /// Entries of functions' orders of workers.
+    /// Entries of the functions' preference orders of workers.
     pub preferences: usize,
-    /// Bytes of these records, by their sizes.
+    /// Size of these records in bytes.
     pub bytes: usize,
 }
 
-/// One failure of the experiment.
+/// A failure of the experiment and the recovery from it.
 #[derive(Debug, Serialize)]
 pub struct FailureReport {
     /// Its position in the experiment.
-    pub number: usize,
+    #[serde(rename = "number")]
+    pub index: usize,
     /// Its kind.
     pub kind: String,
     /// When it began.
     pub at_s: f64,
     /// How long it lasted.
     pub for_s: Option<f64>,
-    /// Least part of a second's calls that was served in time, until the next failure.
-    pub least_in_time: f64,
-    /// Seconds from its begin until calls were served in time as before; none if that did not come.
+    /// The smallest share of the calls of one second that was served in time, until the next failure.
+    #[serde(rename = "least_in_time")]
+    pub min_in_time_share: f64,
+    /// Seconds from its beginning until as large a share of calls was served in time as before it; `None` if that was
+    /// not reached.
     pub recovered_after_s: Option<u64>,
 }
 
-/// What a run needed of the machine.
+/// Resources that the tool used.
 #[derive(Debug, Serialize)]
 pub struct Machine {
-    /// Time it took, in seconds.
+    /// Wall-clock time, in seconds.
     pub wall_s: f64,
-    /// Processor time of the tool, in seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// Most memory of the tool, in MB.
+    /// Peak memory, in MB.
     pub peak_mb: f64,
 }
 
 impl Machine {
-    /// This process up to now.
-    pub fn measure(began: Instant) -> Self {
+    /// Resources that this process has used since it started; the wall-clock time counts from `started`.
+    pub fn measure(started: Instant) -> Self {
         let usage = crate::node::usage::Usage::of_this_process();
-        Machine { wall_s: began.elapsed().as_secs_f64(), cpu_s: usage.cpu_s, peak_mb: usage.peak_mb }
+        Machine { wall_s: started.elapsed().as_secs_f64(), cpu_s: usage.cpu_s, peak_mb: usage.peak_mb }
     }
 }
 
-/// Rows of a two-column Markdown table.
+/// A two-column Markdown table.
 #[derive(Default)]
 pub struct Table(String);
 
@@ -209,26 +228,26 @@
 
     /// Adds a row.
     pub fn row(&mut self, name: &str, value: impl std::fmt::Display) {
-        let _ = writeln!(self.0, "| {name} | {value} |"); // writing to a text cannot fail
+        let _ = writeln!(self.0, "| {name} | {value} |"); // writing to a String cannot fail
     }
 
-    /// Adds a row of a number with so many decimals.
+    /// Adds a row with a number, rounded to `decimals` places.
     pub fn number(&mut self, name: &str, value: f64, decimals: usize) {
         self.row(name, format!("{value:.decimals$}"));
     }
 
-    /// The whole text.
+    /// The table as Markdown.
     pub fn text(self) -> String {
         self.0
     }
 }
 
 impl FleetReport {
-    /// The part of the report that is the same in every run, as JSON.
+    /// The part of the report that is the same in every run of an experiment and seed, as JSON.
     ///
     /// # Errors
-    /// Fails only if a figure cannot be written as JSON.
-    pub fn virtual_part(&self) -> Result<String, serde_json::Error> {
+    /// Fails only if a value cannot be represented in JSON.
+    pub fn deterministic_json(&self) -> Result<String, serde_json::Error> {
         let mut all = serde_json::to_value(self)?;
         if let Some(fields) = all.as_object_mut() {
             fields.remove("machine");
@@ -236,55 +255,58 @@
         serde_json::to_string_pretty(&all)
     }
 
-    /// The table of the report.
+    /// The report as a Markdown table.
     pub fn markdown(&self) -> String {
-        let mut t = Table::new(&self.shape.name);
-        let (shape, counts) = (&self.shape, &self.calls.counts);
-        let share = |n: u64| format!("{n} ({:.2}%)", 100.0 * n as f64 / counts.asked.max(1) as f64);
-        t.row("front ends, of the told number", format!("{} of {}", shape.front_ends, shape.told_front_ends));
-        t.row(
+        let mut table = Table::new(&self.size.name);
+        let (size, counts) = (&self.size, &self.calls.counts);
+        let share = |n: u64| format!("{n} ({:.2}%)", 100.0 * n as f64 / counts.calls.max(1) as f64);
+        table.row(
+            "front ends, of the told number",
+            format!("{} of {}", size.front_ends, size.configured_front_ends),
+        );
+        table.row(
             "workers, functions, exponent",
-            format!("{}, {}, {}", shape.workers, shape.functions, shape.exponent),
+            format!("{}, {}, {}", size.workers, size.functions, size.exponent),
         );
-        t.number("functions called less than once a minute", shape.rare_functions, 3);
-        t.number("calls/s of a front end", shape.calls_s, 1);
-        t.row("calls", counts.asked);
-        t.row("served in time", share(counts.served_in_time));
-        t.row("served late", share(counts.served_late));
-        t.row("refused", share(counts.refused));
-        t.row("failed", share(counts.failed));
-        t.row("lost", share(counts.lost));
-        t.row("cold", share(counts.cold));
+        table.number("functions called less than once a minute", size.rare_function_share, 3);
+        table.number("calls/s of a front end", size.calls_s, 1);
+        table.row("calls", counts.calls);
+        table.row("served in time", share(counts.served_in_time));
+        table.row("served late", share(counts.served_late));
+        table.row("refused", share(counts.refused));
+        table.row("failed", share(counts.failed));
+        table.row("lost", share(counts.lost));
+        table.row("cold", share(counts.cold));
         let q =
             |q: &Quantiles| format!("{:.0}, {:.0}, {:.0}, {:.0}", q.p50_ms, q.p99_ms, q.p999_ms, q.max_ms);
-        t.row("latency p50, p99, p99.9, max, ms", q(&self.calls.latency));
-        t.row("cold start p50, p99, p99.9, max, ms", q(&self.calls.cold_start));
-        t.number("cold starts within 1.5 s", self.calls.cold_within_1500_ms, 4);
+        table.row("latency p50, p99, p99.9, max, ms", q(&self.calls.latency));
+        table.row("cold start p50, p99, p99.9, max, ms", q(&self.calls.cold_start));
+        table.number("cold starts within 1.5 s", self.calls.cold_within_1500_ms, 4);
         let c = &self.control;
-        t.number("list, B/s a front end", c.list_bytes_s, 1);
-        t.number("orders, B/s a front end", c.hold_bytes_s, 1);
-        t.number("questions, B/s a front end", c.question_bytes_s, 1);
-        t.number("probes/s a front end", c.probes_s, 2);
-        t.row("loads, failed", format!("{}, {}", self.workers.loads, self.workers.failed_loads));
-        t.number("workers connected to a front end", self.workers.connections_of_a_front_end, 1);
-        t.row(
+        table.number("list, B/s a front end", c.list_bytes_s, 1);
+        table.number("orders, B/s a front end", c.load_bytes_s, 1);
+        table.number("questions, B/s a front end", c.query_bytes_s, 1);
+        table.number("probes/s a front end", c.probes_s, 2);
+        table.row("loads, failed", format!("{}, {}", self.workers.loads, self.workers.failed_loads));
+        table.number("workers connected to a front end", self.workers.connections_per_front_end, 1);
+        table.row(
             "front ends connected to a worker: mean, most",
             format!(
                 "{:.1}, {}",
-                self.workers.connections_of_a_worker, self.workers.most_connections_of_a_worker
+                self.workers.connections_per_worker, self.workers.max_connections_per_worker
             ),
         );
-        t.row("list change known everywhere p50, p99, p99.9, max, ms", q(&self.board.known_everywhere));
-        t.row("reconnected after a cut p50, p99, p99.9, max, ms", q(&self.board.reconnected));
-        t.row(
+        table.row("list change known everywhere p50, p99, p99.9, max, ms", q(&self.discovery.propagation));
+        table.row("reconnected after a cut p50, p99, p99.9, max, ms", q(&self.discovery.reconnect));
+        table.row(
             "board: peak calls/s, B/s",
-            format!("{}, {}", self.board.peak_calls_s, self.board.peak_bytes_s),
+            format!("{}, {}", self.discovery.peak_requests_s, self.discovery.peak_bytes_s),
         );
-        t.row(
+        table.row(
             "reconnects: resumed, whole lists",
-            format!("{}, {}", self.board.resumed, self.board.whole_lists),
+            format!("{}, {}", self.discovery.resumed, self.discovery.whole_lists),
         );
-        t.row(
+        table.row(
             "state of a module: workers, functions, copies, order entries, bytes",
             format!(
                 "{}, {}, {}, {}, {}",
@@ -297,124 +319,138 @@
         );
         for f in &self.failures {
             let after = f.recovered_after_s.map_or("not in this run".to_owned(), |s| format!("{s} s"));
-            let figures = format!("{after}, {:.3}", f.least_in_time);
-            t.row(&format!("{} at {} s: recovered after, least in time", f.kind, f.at_s), figures);
+            let figures = format!("{after}, {:.3}", f.min_in_time_share);
+            table.row(&format!("{} at {} s: recovered after, least in time", f.kind, f.at_s), figures);
         }
         let m = &self.machine;
-        t.row("tool: wall s, CPU s, MB", format!("{:.1}, {:.1}, {:.0}", m.wall_s, m.cpu_s, m.peak_mb));
-        t.text()
+        table.row("tool: wall s, CPU s, MB", format!("{:.1}, {:.1}, {:.0}", m.wall_s, m.cpu_s, m.peak_mb));
+        table.text()
     }
 }
 
-/// A run of real front ends.
+/// Results of a run of real front ends.
 #[derive(Debug, Serialize)]
 pub struct NodeReport {
-    /// What was run.
-    pub shape: Shape,
-    /// Whether the list came with the configuration; else the board told it.
-    pub told_at_start: bool,
-    /// Calls, as clients saw them.
+    /// Size of the experiment.
+    #[serde(rename = "shape")]
+    pub size: ExperimentSize,
+    /// Whether the worker list came with the configuration; otherwise the discovery server sent it.
+    #[serde(rename = "told_at_start")]
+    pub list_in_configuration: bool,
+    /// Outcomes and latency of the calls, as the clients saw them.
     pub calls: CallReport,
-    /// Control traffic of a front end, on the mean.
+    /// Control traffic per front end, as the mean.
     pub control: NodeControl,
-    /// From a change of the list until every front end's log names it.
-    pub known_everywhere: Quantiles,
-    /// From the end of a cut of the board until each call that came after it.
-    pub reconnected: Quantiles,
-    /// Connections that a front end holds to workers at the end, on the mean.
-    pub workers_connected: f64,
-    /// Each front end.
+    /// Time from a change of the worker list until the logs of all front ends have it.
+    #[serde(rename = "known_everywhere")]
+    pub propagation: Quantiles,
+    /// Time from the end of the discovery server's cut until each request that came after it.
+    #[serde(rename = "reconnected")]
+    pub reconnect: Quantiles,
+    /// Connections to workers per front end at the end, as the mean.
+    #[serde(rename = "workers_connected")]
+    pub worker_connections: f64,
+    /// The front ends.
     pub front_ends: Vec<NodeFrontEnd>,
-    /// What the tool itself needed: the hollow workers, board and clients.
+    /// Resources that the tool itself used, for the simulated workers, discovery server and clients.
     pub machine: Machine,
 }
 
-/// Control traffic of a real front end, in bytes a second both ways unless said otherwise.
+/// Control traffic per real front end, in bytes per second in both directions unless stated otherwise.
 #[derive(Debug, Serialize)]
 pub struct NodeControl {
-    /// Events and comments of the board.
+    /// Events and comments of the discovery server.
     pub list_bytes_s: f64,
-    /// Orders to hold and unload copies.
-    pub order_bytes_s: f64,
-    /// Questions, and the answers to orders.
-    pub question_bytes_s: f64,
-    /// Questions on quiet connections.
+    /// Load and unload commands.
+    #[serde(rename = "order_bytes_s")]
+    pub command_bytes_s: f64,
+    /// Copy queries, and the replies to all commands.
+    #[serde(rename = "question_bytes_s")]
+    pub query_bytes_s: f64,
+    /// Copy queries that keep idle connections alive.
     pub keep_alive_bytes_s: f64,
     /// Probes.
     pub probe_bytes_s: f64,
-    /// Calls and answers; no control.
+    /// Calls and their replies, which are not control traffic.
     pub call_bytes_s: f64,
-    /// Calls of the board a second.
-    pub board_calls_s: f64,
-    /// Whole lists told in all.
+    /// Requests to the discovery server per second.
+    #[serde(rename = "board_calls_s")]
+    pub discovery_requests_s: f64,
+    /// Whole lists that the discovery server sent, in all.
     pub whole_lists: u64,
 }
 
-/// One real front end.
+/// A real front end.
 #[derive(Debug, Serialize)]
 pub struct NodeFrontEnd {
-    /// Seconds from the run's begin until it was ready; none if that took over 30.
+    /// Seconds from the start of the run until it was ready; `None` if that took over 30 seconds.
     pub ready_s: Option<f64>,
     /// Memory at the end, in MB.
     pub memory_mb: f64,
-    /// Most memory, in MB.
+    /// Peak memory, in MB.
     pub peak_mb: f64,
-    /// Part of a core that it used in the counted time.
+    /// Share of a core that it used in the counted time.
     pub core_share: f64,
-    /// Processor time before the counted time, in seconds.
+    /// CPU time before the counted time, in seconds.
     pub start_cpu_s: f64,
-    /// Descriptors at the end.
+    /// Open descriptors at the end.
     pub descriptors: usize,
     /// Lines of its log.
     pub log_lines: u64,
 }
 
 impl NodeReport {
-    /// The table of the report.
+    /// The report as a Markdown table.
     pub fn markdown(&self) -> String {
-        let mut t = Table::new(&self.shape.name);
-        let (shape, counts) = (&self.shape, &self.calls.counts);
-        let share = |n: u64| format!("{n} ({:.2}%)", 100.0 * n as f64 / counts.asked.max(1) as f64);
-        t.row("front ends, of the told number", format!("{} of {}", shape.front_ends, shape.told_front_ends));
-        t.row(
+        let mut table = Table::new(&self.size.name);
+        let (size, counts) = (&self.size, &self.calls.counts);
+        let share = |n: u64| format!("{n} ({:.2}%)", 100.0 * n as f64 / counts.calls.max(1) as f64);
+        table.row(
+            "front ends, of the told number",
+            format!("{} of {}", size.front_ends, size.configured_front_ends),
+        );
+        table.row(
             "workers, functions, exponent",
-            format!("{}, {}, {}", shape.workers, shape.functions, shape.exponent),
+            format!("{}, {}, {}", size.workers, size.functions, size.exponent),
+        );
+        table.row(
+            "the list came",
+            if self.list_in_configuration { "with the configuration" } else { "from the board" },
         );
-        t.row("the list came", if self.told_at_start { "with the configuration" } else { "from the board" });
         let all = |of: &dyn Fn(&NodeFrontEnd) -> String| {
             self.front_ends.iter().map(of).collect::<Vec<_>>().join(", ")
         };
-        t.row("ready after, s", all(&|f| f.ready_s.map_or("never".to_owned(), |s| format!("{s:.2}"))));
-        t.row("memory now, MB", all(&|f| format!("{:.1}", f.memory_mb)));
-        t.row("memory at most, MB", all(&|f| format!("{:.1}", f.peak_mb)));
-        t.row("part of a core", all(&|f| format!("{:.4}", f.core_share)));
-        t.row("processor time before, s", all(&|f| format!("{:.2}", f.start_cpu_s)));
-        t.row("descriptors", all(&|f| f.descriptors.to_string()));
-        t.row("log lines", all(&|f| f.log_lines.to_string()));
-        t.number("workers connected", self.workers_connected, 1);
-        t.row("calls", counts.asked);
-        t.row("served in time", share(counts.served_in_time));
-        t.row("served late", share(counts.served_late));
-        t.row("refused", share(counts.refused));
-        t.row("failed", share(counts.failed));
-        t.row("lost", share(counts.lost));
-        t.row("cold", share(counts.cold));
+        table.row("ready after, s", all(&|f| f.ready_s.map_or("never".to_owned(), |s| format!("{s:.2}"))));
+        table.row("memory now, MB", all(&|f| format!("{:.1}", f.memory_mb)));
+        table.row("memory at most, MB", all(&|f| format!("{:.1}", f.peak_mb)));
+        table.row("part of a core", all(&|f| format!("{:.4}", f.core_share)));
+        table.row("processor time before, s", all(&|f| format!("{:.2}", f.start_cpu_s)));
+        table.row("descriptors", all(&|f| f.descriptors.to_string()));
+        table.row("log lines", all(&|f| f.log_lines.to_string()));
+        table.number("workers connected", self.worker_connections, 1);
+        table.row("calls", counts.calls);
+        table.row("served in time", share(counts.served_in_time));
+        table.row("served late", share(counts.served_late));
+        table.row("refused", share(counts.refused));
+        table.row("failed", share(counts.failed));
+        table.row("lost", share(counts.lost));
+        table.row("cold", share(counts.cold));
         let q =
             |q: &Quantiles| format!("{:.0}, {:.0}, {:.0}, {:.0}", q.p50_ms, q.p99_ms, q.p999_ms, q.max_ms);
-        t.row("latency p50, p99, p99.9, max, ms", q(&self.calls.latency));
-        t.row("cold start p50, p99, p99.9, max, ms", q(&self.calls.cold_start));
-        t.number("cold starts within 1.5 s", self.calls.cold_within_1500_ms, 4);
+        table.row("latency p50, p99, p99.9, max, ms", q(&self.calls.latency));
+        table.row("cold start p50, p99, p99.9, max, ms", q(&self.calls.cold_start));
+        table.number("cold starts within 1.5 s", self.calls.cold_within_1500_ms, 4);
         let c = &self.control;
-        t.number("list, B/s", c.list_bytes_s, 1);
-        t.number("orders, B/s", c.order_bytes_s, 1);
-        t.number("questions and answers to orders, B/s", c.question_bytes_s, 1);
-        t.number("keep-alives, B/s", c.keep_alive_bytes_s, 1);
-        t.number("probes, B/s", c.probe_bytes_s, 1);
-        t.number("calls, B/s", c.call_bytes_s, 1);
-        t.number("calls of the board/s", c.board_calls_s, 2);
-        t.row("whole lists told", c.whole_lists);
-        t.row("list change known everywhere p50, p99, p99.9, max, ms", q(&self.known_everywhere));
-        t.row("calls of the board after a cut p50, p99, p99.9, max, ms", q(&self.reconnected));
-        t.text()
+        table.number("list, B/s", c.list_bytes_s, 1);
+        table.number("orders, B/s", c.command_bytes_s, 1);
+        table.number("questions and answers to orders, B/s", c.query_bytes_s, 1);
+        table.number("keep-alives, B/s", c.keep_alive_bytes_s, 1);
+        table.number("probes, B/s", c.probe_bytes_s, 1);
+        table.number("calls, B/s", c.call_bytes_s, 1);
+        table.number("calls of the board/s", c.discovery_requests_s, 2);
+        table.row("whole lists told", c.whole_lists);
+        table.row("list change known everywhere p50, p99, p99.9, max, ms", q(&self.propagation));
+        table.row("calls of the board after a cut p50, p99, p99.9, max, ms", q(&self.reconnect));
+        table.text()
     }
 }
--- a/scale/src/soak/clients.rs
+++ b/scale/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Stand-in clients: usual ones, which call, take back and leave, and bad ones, which say nothing of use.
 use super::record::{Answer, Event, Recorder};
 use super::worker::body;
-use crate::node::wire::{abort, read_record, request, Record};
+use crate::node::wire::{encode_abort, encode_request, read_record, Record};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -155,7 +155,7 @@
         if told.keyed {
             params.push(("HTTP_REQ_TOKEN", format!("{number:032x}")));
         }
-        let bytes = request(id, &params, format!("body of {number}").as_bytes());
+        let bytes = encode_request(id, &params, format!("body of {number}").as_bytes());
         let wait = wait_ms * 1_000;
         if connection.send.send(Outgoing::Request { number, id, class, wait, bytes }).is_err() {
             return;
@@ -238,7 +238,7 @@
                 }
                 Outgoing::Abort { number, id } => {
                     let owed = self.open.lock().is_ok_and(|mut open| open.requests.remove(&id).is_some());
-                    if owed && write.write_all(&abort(id)).await.is_ok() {
+                    if owed && write.write_all(&encode_abort(id)).await.is_ok() {
                         self.recorder.add(Event::Left { request: number });
                     }
                 }
@@ -308,12 +308,12 @@
     let Ok(mut stream) = TcpStream::connect(address).await else { return };
     let client = common.number();
     common.recorder.add(Event::BadClient { front_end, client });
-    let half = request(1, &[("SCRIPT_NAME", "/v1/lookup".to_owned())], b"half");
+    let half = encode_request(1, &[("SCRIPT_NAME", "/v1/lookup".to_owned())], b"half");
     let _ = match kind % 4 {
         0 => Ok(()),
         1 => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
         2 => stream.write_all(&half[..half.len() - 8]).await,
-        _ => stream.write_all(&request(1, &[("SCRIPT_NAME", "/v1/none".to_owned())], &[])).await,
+        _ => stream.write_all(&encode_request(1, &[("SCRIPT_NAME", "/v1/none".to_owned())], &[])).await,
     }; // the front end may have closed
     let word = tokio::time::timeout(BAD_PATIENCE, stream.read(&mut [0; 256])).await;
     if word.is_ok() {
--- a/scale/src/soak/process.rs
+++ b/scale/src/soak/process.rs
@@ -61,8 +61,8 @@
     /// Fails if no process can be started.
     pub fn start(launch: Launch<'_>, log: &LogTail) -> io::Result<Process> {
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &launch.deploy.run])
-            .current_dir(&launch.deploy.root)
+            .args(["-c", &launch.deploy.command])
+            .current_dir(&launch.deploy.working_directory)
             .env("NODE_CONFIG", launch.config)
             .env("NODE_NAME", &launch.name)
             .env("NODE_LISTEN", launch.listen.to_string())
--- a/scale/src/soak/worker.rs
+++ b/scale/src/soak/worker.rs
@@ -1,7 +1,7 @@
 //! A stand-in worker: it loads, serves, turns away, drains, dies, hangs and answers oddly, as it is told.
 use super::network;
 use super::record::{Command, Event, Recorder, Reply};
-use crate::node::wire::{answer, read_frame, Frame};
+use crate::node::wire::{encode_reply, read_frame, Frame};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashSet;
@@ -198,7 +198,7 @@
             4 | 5 => Command::Probe,
             _ => return None,
         };
-        let began = self.common.recorder.at(frame.began);
+        let began = self.common.recorder.at(frame.received);
         self.common.recorder.add(Event::Received {
             worker: self.number,
             process: link.process,
@@ -222,7 +222,7 @@
                     open.as_mut().map(|open| open.insert(request));
                 }
                 let function = hex("path").unwrap_or(0);
-                let until = frame.began + Duration::from_millis(budget_ms);
+                let until = frame.received + Duration::from_millis(budget_ms);
                 tokio::spawn(async move { worker.call(&link, request, function, until, turned_away).await });
             }
             Command::GiveUp { request } => {
@@ -236,13 +236,13 @@
                     let code = if copies > 0 && turned_away { FULL } else { OK };
                     let stands = worker.load(function, copies > 0 && code == OK).await;
                     let fields = format!("slots_up={}", u32::from(stands));
-                    worker.send(&link, &answer(code, id, &fields, &[])).await;
+                    worker.send(&link, &encode_reply(code, id, &fields, &[])).await;
                 });
             }
             Command::Probe => {
                 let code = if turned_away { TAKES_NO_WORK } else { TAKES_WORK };
                 tokio::spawn(async move {
-                    worker.send(&link, &answer(code, id, "use=busy_reqs:1;x1:0", &[])).await;
+                    worker.send(&link, &encode_reply(code, id, "use=busy_reqs:1;x1:0", &[])).await;
                 });
             }
         }
@@ -271,14 +271,14 @@
     async fn call(&self, link: &Link, request: u64, function: u64, until: Instant, turned_away: bool) {
         let most = self.common.lanes as usize * WAITING_PER_LANE;
         if turned_away || self.waiting.load(Ordering::Acquire) >= most {
-            return self.reply(link, request, Reply::TurnedAway, &answer(FULL, request, "", &[])).await;
+            return self.reply(link, request, Reply::TurnedAway, &encode_reply(FULL, request, "", &[])).await;
         }
         self.waiting.fetch_add(1, Ordering::AcqRel);
         let lane = self.lanes.acquire().await;
         if Instant::now() > until {
             // One whose time is up is not begun.
             self.waiting.fetch_sub(1, Ordering::AcqRel);
-            return self.reply(link, request, Reply::TurnedAway, &answer(OVER, request, "", &[])).await;
+            return self.reply(link, request, Reply::TurnedAway, &encode_reply(OVER, request, "", &[])).await;
         }
         let warm = self.load(function, false).await;
         self.load(function, true).await;
@@ -295,7 +295,7 @@
         self.waiting.fetch_sub(1, Ordering::AcqRel);
         let detail = if warm { "resident" } else { "booted" };
         let fields = format!("detail={detail},use=busy_reqs:{};x1:0", self.waiting.load(Ordering::Acquire));
-        let mut bytes = answer(OK, request, &fields, body(request).as_bytes());
+        let mut bytes = encode_reply(OK, request, &fields, body(request).as_bytes());
         match (odd, kind) {
             (false, _) => self.reply(link, request, Reply::Ok, &bytes).await,
             (true, 0) => {
