--- a/scale/src/time.rs
+++ b/scale/src/time.rs
@@ -1,4 +1,4 @@
-//! Time sources: a virtual clock that moves in steps, and the real one. Both count microseconds.
+//! Clocks: a virtual one that advances in steps, and the system's. Both count microseconds.
 use heronslip_policy::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,17 +7,17 @@
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Seconds of an experiment file in microseconds; what is negative or no number counts as 0.
+/// Converts seconds to microseconds; negative values and NaN become 0.
 pub fn seconds(value: f64) -> Micros {
     (value * SECOND as f64).round() as Micros
 }
 
-/// Milliseconds of an experiment file in microseconds; what is negative or no number counts as 0.
+/// Converts milliseconds to microseconds; negative values and NaN become 0.
 pub fn milliseconds(value: f64) -> Micros {
     (value * MILLISECOND as f64).round() as Micros
 }
 
-/// A clock that moves only when it is told to.
+/// A clock that moves only when it is advanced.
 #[derive(Clone, Copy, Debug)]
 pub struct VirtualClock {
     now: Micros,
@@ -25,39 +25,39 @@
 }
 
 impl VirtualClock {
-    /// A clock at this time that advances in steps of this length.
+    /// A clock that starts at `now` and advances in steps of at least one microsecond.
     pub fn new(now: Micros, step: Micros) -> Self {
         VirtualClock { now, step: step.max(1) }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Moves on by one step and tells the new time.
+    /// Advances by one step and returns the new time.
     pub fn advance(&mut self) -> Micros {
         self.now += self.step;
         self.now
     }
 }
 
-/// The system's clock: Unix time at the start, then monotonic.
+/// A monotonic clock that starts at the current Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct RealClock {
-    unix: Micros,
+    start_unix: Micros,
     start: Instant,
 }
 
 impl RealClock {
-    /// Starts now.
+    /// Starts the clock.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        RealClock { unix, start: Instant::now() }
+        let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
+        RealClock { start_unix, start: Instant::now() }
     }
 
-    /// The present Unix time.
+    /// The Unix time at the start plus the time elapsed since.
     pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.start_unix + self.start.elapsed().as_micros() as Micros
     }
 }
--- a/scale/src/world/list.rs
+++ b/scale/src/world/list.rs
@@ -1,15 +1,16 @@
-//! The list of workers as the board keeps it: entries, numbered events, and how late each is told.
+//! The worker list as the discovery server keeps it: entries and numbered events.
 use crate::experiment::Experiment;
 use heronslip_policy::{Entry, Micros, WorkerState};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Bytes of an entry in the board's form beside its worker's name: keys, punctuation, address, zone and kind.
+/// Bytes of an entry in the discovery server's JSON, without the worker's name: keys, punctuation, address, zone
+/// and machine type.
 const ENTRY_BYTES: usize = 140;
-/// Bytes of an event round its entries.
+/// Bytes of an event in the discovery server's JSON, without its entries.
 const EVENT_BYTES: usize = 80;
 
-/// One numbered event of the board.
+/// A numbered event of the discovery server.
 #[derive(Clone, Debug)]
 pub struct ListEvent {
     /// Its number, from 1 on.
@@ -21,7 +22,7 @@
 }
 
 impl ListEvent {
-    /// Bytes of the event in the board's form.
+    /// Size of the event in bytes, as the discovery server sends it.
     pub fn bytes(&self) -> usize {
         event_bytes(&self.entries)
     }
@@ -31,61 +32,62 @@
     EVENT_BYTES + entries.iter().map(|e| ENTRY_BYTES + e.worker.len()).sum::<usize>()
 }
 
-/// The name of the process that runs at a worker's place: it changes when a machine is replaced.
-fn name(worker: usize, machine: u32) -> String {
-    format!("w{worker:05}-{machine}")
+/// The listed name of a worker. Replacing its machine changes the name.
+fn worker_name(worker: usize, generation: u32) -> String {
+    format!("w{worker:05}-{generation}")
 }
 
-/// The worker's place behind a name of the list.
+/// The number of the worker that is listed under this name.
 pub fn worker_number(name: &str) -> Option<usize> {
     name.strip_prefix('w')?.split('-').next()?.parse().ok()
 }
 
-/// The present list and the events that led to it.
+/// The current worker list and its most recent events.
 #[derive(Debug)]
-pub struct List {
+pub struct WorkerList {
     entries: Vec<Entry>,
-    machines: Vec<u32>,
+    /// How often each worker's machine was replaced.
+    generations: Vec<u32>,
     history: VecDeque<Arc<ListEvent>>,
-    most_history: usize,
-    last: u64,
+    max_history: usize,
+    last_event: u64,
 }
 
-impl List {
-    /// All workers ready, as event 1.
-    pub fn new(experiment: &Experiment, kinds: usize) -> Self {
+impl WorkerList {
+    /// A list of all workers, all ready, as event 1.
+    pub fn new(experiment: &Experiment, machine_types: usize) -> Self {
         let zones = experiment.fleet.zones as usize;
         let entry = |n: usize| Entry {
-            worker: name(n, 0),
+            worker: worker_name(n, 0),
             state: WorkerState::Ready,
             started_at: 0,
             zone: n % zones,
-            kind: n % kinds.max(1),
+            kind: n % machine_types.max(1),
             cell: (n % zones) as u64,
         };
         let workers = experiment.fleet.workers as usize;
-        List {
+        WorkerList {
             entries: (0..workers).map(entry).collect(),
-            machines: vec![0; workers],
+            generations: vec![0; workers],
             history: VecDeque::new(),
-            most_history: experiment.board.history as usize,
-            last: 1,
+            max_history: experiment.discovery.history as usize,
+            last_event: 1,
         }
     }
 
-    /// Every entry that is not gone.
-    pub fn whole(&self) -> Vec<Entry> {
+    /// All entries except those of workers that are gone.
+    pub fn snapshot(&self) -> Vec<Entry> {
         self.entries.iter().filter(|e| e.state != WorkerState::Gone).cloned().collect()
     }
 
-    /// Bytes of the whole list in the board's form.
-    pub fn whole_bytes(&self) -> usize {
+    /// Size of the whole list in bytes, as the discovery server sends it.
+    pub fn snapshot_bytes(&self) -> usize {
         event_bytes(&self.entries)
     }
 
-    /// The last event's number.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// The number of the most recent event.
+    pub fn last_event(&self) -> u64 {
+        self.last_event
     }
 
     /// The zone of a worker.
@@ -93,49 +95,49 @@
         self.entries[worker].zone
     }
 
-    /// The events after a number, or nothing if the board does not have them all any more.
-    pub fn since(&self, number: u64) -> Option<Vec<Arc<ListEvent>>> {
-        let missed = (self.last - number) as usize;
+    /// The events after a number, or `None` if the history no longer holds all of them.
+    pub fn events_after(&self, number: u64) -> Option<Vec<Arc<ListEvent>>> {
+        let missed = (self.last_event - number) as usize;
         (missed <= self.history.len())
             .then(|| self.history.iter().rev().take(missed).rev().cloned().collect())
     }
 
-    /// Workers whose processes ended.
-    pub fn gone(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
+    /// Lists workers as gone: their processes ended.
+    pub fn mark_gone(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
         workers.iter().for_each(|&w| self.entries[w].state = WorkerState::Gone);
         let entries = workers.iter().map(|&w| self.entries[w].clone()).collect();
-        self.push(now, entries)
+        self.push_event(now, entries)
     }
 
-    /// Workers whose processes started anew.
-    pub fn back(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
+    /// Lists workers as ready: their processes restarted.
+    pub fn mark_ready(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
         for &w in workers {
             (self.entries[w].state, self.entries[w].started_at) = (WorkerState::Ready, now);
         }
         let entries = workers.iter().map(|&w| self.entries[w].clone()).collect();
-        self.push(now, entries)
+        self.push_event(now, entries)
     }
 
-    /// Workers replaced by new machines under new names.
-    pub fn replaced(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
+    /// Replaces workers by new machines under new names.
+    pub fn replace(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
         let mut changed = Vec::with_capacity(2 * workers.len());
         for &w in workers {
             changed.push(Entry { state: WorkerState::Gone, ..self.entries[w].clone() });
-            self.machines[w] += 1;
-            let worker = name(w, self.machines[w]);
-            let fresh =
+            self.generations[w] += 1;
+            let worker = worker_name(w, self.generations[w]);
+            let replacement =
                 Entry { worker, started_at: now, state: WorkerState::Ready, ..self.entries[w].clone() };
-            self.entries[w] = fresh.clone();
-            changed.push(fresh);
+            self.entries[w] = replacement.clone();
+            changed.push(replacement);
         }
-        self.push(now, changed)
+        self.push_event(now, changed)
     }
 
-    fn push(&mut self, at: Micros, entries: Vec<Entry>) -> Arc<ListEvent> {
-        self.last += 1;
-        let event = Arc::new(ListEvent { number: self.last, at, entries });
+    fn push_event(&mut self, at: Micros, entries: Vec<Entry>) -> Arc<ListEvent> {
+        self.last_event += 1;
+        let event = Arc::new(ListEvent { number: self.last_event, at, entries });
         self.history.push_back(event.clone());
-        if self.history.len() > self.most_history {
+        if self.history.len() > self.max_history {
             self.history.pop_front();
         }
         event
--- a/scale/src/world/store.rs
+++ b/scale/src/world/store.rs
@@ -1,38 +1,39 @@
-//! The store from which every worker fetches functions: of bounded rate, with a bounded queue.
-use crate::experiment::StoreShape;
+//! The store from which all workers fetch functions: a limited rate and a bounded queue.
+use crate::experiment::StoreConfig;
 use crate::time::SECOND;
 use heronslip_policy::Micros;
 
-/// A server of fetches in turn.
+/// A store that begins fetches one after another at a fixed rate.
 #[derive(Debug)]
 pub struct Store {
-    interval: f64,
-    most_waiting: f64,
-    /// When the fetches accepted so far have all been begun.
+    /// Microseconds between the starts of two fetches.
+    fetch_interval: f64,
+    max_queued: f64,
+    /// Time by which all fetches accepted so far have begun.
     busy_until: f64,
-    /// Fetches served or being served.
+    /// Fetches accepted.
     pub fetches: u64,
-    /// Fetches turned away.
-    pub turned_away: u64,
+    /// Fetches rejected because the queue was full.
+    pub rejected_fetches: u64,
 }
 
 impl Store {
     /// An idle store.
-    pub fn new(shape: &StoreShape) -> Self {
-        let interval = SECOND as f64 / shape.fetches_per_s;
-        let most_waiting = f64::from(shape.most_waiting);
-        Store { interval, most_waiting, busy_until: 0.0, fetches: 0, turned_away: 0 }
+    pub fn new(config: &StoreConfig) -> Self {
+        let fetch_interval = SECOND as f64 / config.fetches_per_s;
+        let max_queued = f64::from(config.max_queued);
+        Store { fetch_interval, max_queued, busy_until: 0.0, fetches: 0, rejected_fetches: 0 }
     }
 
-    /// Takes a fetch that lasts `alone` on an idle store; tells when it is done, or nothing if too many wait.
-    pub fn fetch(&mut self, now: Micros, alone: Micros) -> Option<Micros> {
-        let waits = (self.busy_until - now as f64).max(0.0);
-        if waits / self.interval > self.most_waiting {
-            self.turned_away += 1;
+    /// Queues a fetch that takes `duration` once begun. Returns when it completes, or `None` if the queue is full.
+    pub fn fetch(&mut self, now: Micros, duration: Micros) -> Option<Micros> {
+        let delay = (self.busy_until - now as f64).max(0.0);
+        if delay / self.fetch_interval > self.max_queued {
+            self.rejected_fetches += 1;
             return None;
         }
         self.fetches += 1;
-        self.busy_until = self.busy_until.max(now as f64) + self.interval;
-        Some(now + waits as Micros + alone)
+        self.busy_until = self.busy_until.max(now as f64) + self.fetch_interval;
+        Some(now + delay as Micros + duration)
     }
 }
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -1,5 +1,5 @@
-//! Hollow workers: copies with lanes, loads, memory, idle unloading, queues and load reports.
-use super::{Others, Store};
+//! Simulated workers: copies with lanes, loads, memory, idle unloading, queues and load reports.
+use super::{BackgroundLoad, Store};
 use crate::catalogue::Catalogue;
 use crate::experiment::Experiment;
 use heronslip_policy::{Micros, Outcome, Settings};
@@ -7,14 +7,17 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// An attempt on its way to a worker.
+/// Loads that a worker queues for each load that it runs at once; further ones are rejected.
+const QUEUED_LOADS_PER_SLOT: u32 = 2;
+
+/// An attempt of a request at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallOut {
+pub struct WorkerCall {
     /// The front end that sent it.
     pub front_end: usize,
-    /// The front end's number of the request.
-    pub id: u64,
-    /// The attempt, counted from 0.
+    /// The request's number at the front end.
+    pub request: u64,
+    /// The attempt's number, from 0 on.
     pub attempt: usize,
     /// The function's rank.
     pub rank: usize,
@@ -22,92 +25,101 @@
     pub arrived: Micros,
 }
 
-/// What a front end asks of a worker.
+/// A message from a front end to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Command {
-    /// Run a call.
-    Call(CallOut),
-    /// Nobody waits for this call any more: it is dropped if it has not begun.
-    Cancel(CallOut),
-    /// Hold so many copies; 0 only asks.
-    Hold {
-        /// Who asks.
+    /// Runs a call.
+    Call(WorkerCall),
+    /// Cancels a call; it is dropped if it has not started.
+    Cancel(WorkerCall),
+    /// Loads copies until this many are there; 0 is a copy query, which loads none and returns their number.
+    Load {
+        /// The front end that sent it.
         front_end: usize,
-        /// The order's number there.
-        order: u64,
+        /// The command's number at the front end.
+        id: u64,
         /// The function's rank.
         rank: usize,
         /// Copies wanted.
         copies: u32,
     },
-    /// Unload the idle copies of the function of this rank.
+    /// Unloads the idle copies of the function of this rank.
     Unload(usize),
-    /// Tell whether the worker takes work.
+    /// Checks whether the worker accepts calls.
     Probe {
-        /// Who asks.
+        /// The front end that sent it.
         front_end: usize,
-        /// The probe's number there.
-        probe: u64,
+        /// The probe's number at the front end.
+        id: u64,
     },
 }
 
-/// What a worker answers.
+/// A message from a worker to a front end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
     /// A call ended.
-    Ended {
+    CallEnded {
         /// The call.
-        call: CallOut,
-        /// How.
+        call: WorkerCall,
+        /// How it ended.
         outcome: Outcome,
-        /// Whether a copy stood loaded when it came.
+        /// Whether a copy was loaded when the call arrived.
         warm: bool,
-        /// Calls that the worker held then, others' included.
-        held: f64,
-        /// How long it waited at the worker before it began.
+        /// Calls in flight at the worker, background calls included.
+        inflight: f64,
+        /// How long the call was queued at the worker before it started.
         waited: Micros,
     },
-    /// An order ended.
-    Held {
-        /// Who asked.
+    /// A load command or copy query ended.
+    LoadEnded {
+        /// The front end that sent the command.
         front_end: usize,
-        /// The order's number there.
-        order: u64,
-        /// How.
+        /// The command's number at the front end.
+        id: u64,
+        /// How it ended.
         outcome: Outcome,
-        /// Copies that stand.
+        /// Copies that are loaded.
         copies: u32,
     },
     /// A probe ended.
-    Probed {
-        /// Who asked.
+    ProbeEnded {
+        /// The front end that sent the probe.
         front_end: usize,
-        /// The probe's number there.
-        probe: u64,
-        /// How: a worker that runs takes work.
+        /// The probe's number at the front end.
+        id: u64,
+        /// `Ok` if the worker's process runs and so accepts calls.
         outcome: Outcome,
-        /// Calls that the worker holds, others' included.
-        held: f64,
+        /// Calls in flight at the worker, background calls included.
+        inflight: f64,
     },
 }
 
-/// What the world has done so far.
+/// Counters of the workers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorldCounts {
-    /// Loads begun.
+    /// Loads started.
     pub loads: u64,
     /// Loads that failed.
     pub failed_loads: u64,
-    /// Copies unloaded for want of memory.
+    /// Copies unloaded to make room for others.
     pub evicted: u64,
-    /// Calls begun.
+    /// Calls started.
     pub calls: u64,
-    /// Orders to hold copies.
-    pub holds: u64,
-    /// Questions: orders for no copy.
-    pub questions: u64,
-    /// Orders to unload.
-    pub unloads: u64,
+    /// Load commands.
+    pub load_commands: u64,
+    /// Copy queries.
+    pub copy_queries: u64,
+    /// Unload commands.
+    pub unload_commands: u64,
+}
+
+/// A load command that waits for its copies.
+#[derive(Debug)]
+struct PendingLoad {
+    front_end: usize,
+    id: u64,
+    /// Copies wanted.
+    copies: u32,
 }
 
 /// The copies of one function at one worker.
@@ -117,170 +129,192 @@
     loading: u32,
     busy_lanes: u32,
     idle_since: Micros,
-    waiting: VecDeque<(CallOut, bool)>,
-    /// Orders that wait for copies: who, its number, how many.
-    orders: Vec<(usize, u64, u32)>,
+    /// Calls that wait for a lane, each with whether a copy was loaded when it arrived.
+    queued: VecDeque<(WorkerCall, bool)>,
+    pending_loads: Vec<PendingLoad>,
 }
 
 impl Copies {
+    /// Copies with a call on at least one of their lanes, if calls fill one copy after another.
     fn busy(&self, lanes: u32) -> u32 {
         self.busy_lanes.div_ceil(lanes)
     }
 
     fn in_use(&self) -> bool {
-        self.loading > 0 || self.busy_lanes > 0 || !self.waiting.is_empty() || !self.orders.is_empty()
+        self.loading > 0 || self.busy_lanes > 0 || !self.queued.is_empty() || !self.pending_loads.is_empty()
     }
 }
 
 #[derive(Debug)]
 struct Worker {
     up: bool,
-    /// Counts its processes; what belongs to an earlier one is void.
+    /// Number of the current process; events of earlier processes are ignored.
     process: u32,
     memory_mb: f64,
     used_mb: f64,
+    /// Calls running on a lane.
     running: u32,
-    held: u32,
+    /// Calls running or queued.
+    inflight: u32,
+    /// Loads running.
     loads: u32,
-    loads_waiting: VecDeque<usize>,
+    /// Ranks of the functions whose loads wait for a running one to end.
+    queued_loads: VecDeque<usize>,
+    /// Copies by function rank.
     copies: BTreeMap<usize, Copies>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrives(Command),
-    Finished(CallOut, bool, Micros),
-    Loaded(usize, bool),
-    Idle(usize),
+enum WorkerEvent {
+    CommandArrived(Command),
+    /// A call finished: whether it was warm, and how long it was queued.
+    CallFinished(WorkerCall, bool, Micros),
+    /// A load of the function of this rank finished: whether it succeeded.
+    LoadFinished(usize, bool),
+    /// The keep-alive time of this function's idle copies may have passed.
+    IdleTimeout(usize),
 }
 
-/// Something that happens at a worker: in order of time, and as it was scheduled.
+/// An event at a worker. Events are ordered by time, then by the order in which they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Scheduled {
+struct ScheduledEvent {
     at: Micros,
     sequence: u64,
     worker: usize,
-    /// The worker's process that it belongs to.
+    /// The worker's process to which the event belongs.
     process: u32,
-    due: Due,
+    event: WorkerEvent,
 }
 
-/// All workers and the store.
+/// All workers and the store they load functions from.
 pub struct World {
     catalogue: Arc<Catalogue>,
     workers: Vec<Worker>,
     store: Store,
-    others: Others,
-    others_held: f64,
+    background: BackgroundLoad,
+    /// Background calls in flight at each worker.
+    background_inflight: f64,
     cores: u32,
     loads_at_once: u32,
-    most_held: u32,
+    max_inflight: u32,
     fetch_share: f64,
-    keep: Micros,
-    loads_on_absence: bool,
-    due: BinaryHeap<Reverse<Scheduled>>,
+    keep_alive: Micros,
+    /// Whether a call loads a function that is absent from the worker.
+    load_on_miss: bool,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of the event scheduled last.
     sequence: u64,
+    /// Replies that have not left yet: time, worker, reply.
     replies: Vec<(Micros, usize, Reply)>,
     counts: WorldCounts,
 }
 
 impl World {
-    /// Empty workers that have just become ready. Memory follows the settings' kinds in turn.
+    /// Ready workers without any copies. The settings' machine types are assigned to them in turn.
     pub fn new(experiment: &Experiment, settings: &Settings, catalogue: Arc<Catalogue>) -> Self {
-        let kinds = &settings.kind_memory_mb;
-        let memory = |n: usize| kinds.get(n % kinds.len().max(1)).copied().unwrap_or(f64::INFINITY);
+        let memory_by_type = &settings.kind_memory_mb;
+        let memory =
+            |n: usize| memory_by_type.get(n % memory_by_type.len().max(1)).copied().unwrap_or(f64::INFINITY);
         let workers = (0..experiment.fleet.workers as usize).map(|n| Worker::new(memory(n))).collect();
-        let shape = &experiment.workers;
-        let absent = f64::from(experiment.fleet.told() - experiment.fleet.front_ends);
-        let others = Others::new(absent * experiment.calls.per_front_end_s, settings.keep);
-        let others_held = others.held(&catalogue, experiment.fleet.workers as usize);
+        let config = &experiment.workers;
+        let absent = f64::from(experiment.fleet.configured() - experiment.fleet.front_ends);
+        let background = BackgroundLoad::new(absent * experiment.calls.per_front_end_s, settings.keep);
+        let background_inflight =
+            background.inflight_per_worker(&catalogue, experiment.fleet.workers as usize);
         World {
-            others_held,
-            others,
+            background_inflight,
+            background,
             workers,
             catalogue,
             store: Store::new(&experiment.store),
-            cores: shape.cores,
-            loads_at_once: shape.loads_at_once,
-            most_held: shape.most_held,
+            cores: config.cores,
+            loads_at_once: config.loads_at_once,
+            max_inflight: config.max_inflight,
             fetch_share: experiment.store.fetch_share,
-            keep: settings.keep,
-            loads_on_absence: settings.load_on_absence,
-            due: BinaryHeap::new(),
+            keep_alive: settings.keep,
+            load_on_miss: settings.load_on_absence,
+            events: BinaryHeap::new(),
             sequence: 0,
             replies: Vec::new(),
             counts: WorldCounts::default(),
         }
     }
 
-    /// A command that arrives at a worker at this time.
+    /// Schedules the arrival of a command at a worker.
     pub fn command(&mut self, at: Micros, worker: usize, command: Command) {
         let process = self.workers[worker].process;
-        self.schedule(at, worker, process, Due::Arrives(command));
+        self.schedule(at, worker, process, WorkerEvent::CommandArrived(command));
     }
 
-    /// When something happens next.
-    pub fn next(&self) -> Option<Micros> {
-        self.due.peek().map(|next| next.0.at)
+    /// The time of the next event.
+    pub fn next_event(&self) -> Option<Micros> {
+        self.events.peek().map(|next| next.0.at)
     }
 
-    /// Lets everything happen that is due by now; replies with the times at which they leave, in order.
+    /// Processes all events that are due by `now`. Returns the replies in order, each with the time at which it
+    /// leaves and the worker it leaves from.
     pub fn advance(&mut self, now: Micros) -> Vec<(Micros, usize, Reply)> {
-        while self.due.peek().is_some_and(|next| next.0.at <= now) {
-            let Some(Reverse(Scheduled { at, worker, process, due, .. })) = self.due.pop() else { break };
+        while self.events.peek().is_some_and(|next| next.0.at <= now) {
+            let Some(Reverse(ScheduledEvent { at, worker, process, event, .. })) = self.events.pop() else {
+                break;
+            };
             let current = self.workers[worker].process == process;
-            match due {
-                Due::Arrives(command) => self.arrives(at, worker, command),
-                Due::Finished(call, warm, waited) if current => self.finished(at, worker, call, warm, waited),
-                Due::Loaded(rank, ok) if current => self.loaded(at, worker, rank, ok),
-                Due::Idle(rank) if current => self.lapse(at, worker, rank),
+            match event {
+                WorkerEvent::CommandArrived(command) => self.receive(at, worker, command),
+                WorkerEvent::CallFinished(call, warm, waited) if current => {
+                    self.finish_call(at, worker, call, warm, waited)
+                }
+                WorkerEvent::LoadFinished(rank, ok) if current => self.finish_load(at, worker, rank, ok),
+                WorkerEvent::IdleTimeout(rank) if current => self.expire_idle(at, worker, rank),
                 _ => {}
             }
         }
         std::mem::take(&mut self.replies)
     }
 
-    /// A worker's process ends: what it held and ran is lost, connections break.
+    /// Ends a worker's process: its copies and calls are lost, and its connections are reset.
     pub fn stop(&mut self, now: Micros, worker: usize) {
-        self.others.forget(worker);
+        self.background.forget_worker(worker);
         let w = &mut self.workers[worker];
-        let fresh = Worker { up: false, process: w.process + 1, ..Worker::new(w.memory_mb) };
-        let old = std::mem::replace(w, fresh);
+        let replacement = Worker { up: false, process: w.process + 1, ..Worker::new(w.memory_mb) };
+        let old = std::mem::replace(w, replacement);
         for copies in old.copies.into_values() {
-            for (call, warm) in copies.waiting {
-                let reply = Reply::Ended { call, outcome: Outcome::Reset, warm, held: 0.0, waited: 0 };
+            for (call, warm) in copies.queued {
+                let reply =
+                    Reply::CallEnded { call, outcome: Outcome::Reset, warm, inflight: 0.0, waited: 0 };
                 self.replies.push((now, worker, reply));
             }
-            for (front_end, order, _) in copies.orders {
-                let reply = Reply::Held { front_end, order, outcome: Outcome::Reset, copies: 0 };
+            for PendingLoad { front_end, id, .. } in copies.pending_loads {
+                let reply = Reply::LoadEnded { front_end, id, outcome: Outcome::Reset, copies: 0 };
                 self.replies.push((now, worker, reply));
             }
         }
-        // Calls that ran there: their ends are void, but each front end hears of the break.
-        let of_it = |s: &&Reverse<Scheduled>| s.0.worker == worker && s.0.process == old.process;
-        let void = self.due.iter().filter(of_it).filter_map(|s| match s.0.due {
-            Due::Finished(call, warm, _) => Some((call, warm)),
+        // The finish events of running calls are now ignored; their front ends get a reset instead.
+        let of_old_process =
+            |s: &&Reverse<ScheduledEvent>| s.0.worker == worker && s.0.process == old.process;
+        let running = self.events.iter().filter(of_old_process).filter_map(|s| match s.0.event {
+            WorkerEvent::CallFinished(call, warm, _) => Some((call, warm)),
             _ => None,
         });
-        let mut void: Vec<_> = void.collect();
-        void.sort();
-        for (call, warm) in void {
-            let reply = Reply::Ended { call, outcome: Outcome::Reset, warm, held: 0.0, waited: 0 };
+        let mut running: Vec<_> = running.collect();
+        running.sort();
+        for (call, warm) in running {
+            let reply = Reply::CallEnded { call, outcome: Outcome::Reset, warm, inflight: 0.0, waited: 0 };
             self.replies.push((now, worker, reply));
         }
     }
 
-    /// A new process starts there, empty.
+    /// Starts a new process of a worker, without any copies.
     pub fn start(&mut self, worker: usize) {
         self.workers[worker].up = true;
     }
 
-    /// Whether a process runs there.
+    /// Whether a worker's process runs.
     pub fn is_up(&self, worker: usize) -> bool {
         self.workers[worker].up
     }
 
-    /// What has been done so far.
+    /// The counters so far.
     pub fn counts(&self) -> WorldCounts {
         self.counts
     }
@@ -290,95 +324,96 @@
         &self.store
     }
 
-    fn schedule(&mut self, at: Micros, worker: usize, process: u32, due: Due) {
+    fn schedule(&mut self, at: Micros, worker: usize, process: u32, event: WorkerEvent) {
         self.sequence += 1;
-        self.due.push(Reverse(Scheduled { at, sequence: self.sequence, worker, process, due }));
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.sequence, worker, process, event }));
     }
 
-    fn arrives(&mut self, now: Micros, worker: usize, command: Command) {
+    fn receive(&mut self, now: Micros, worker: usize, command: Command) {
         let up = self.workers[worker].up;
         match command {
-            Command::Call(call) if !up => self.end(now, worker, call, Outcome::ConnectFailed),
-            Command::Call(call) => self.call(now, worker, CallOut { arrived: now, ..call }),
-            Command::Cancel(call) if up => self.cancel(worker, call),
-            Command::Hold { front_end, order, .. } if !up => {
-                self.held(now, worker, front_end, order, Outcome::ConnectFailed, 0);
+            Command::Call(call) if !up => self.reply_to_call(now, worker, call, Outcome::ConnectFailed),
+            Command::Call(call) => self.accept_call(now, worker, WorkerCall { arrived: now, ..call }),
+            Command::Cancel(call) if up => self.cancel_call(worker, call),
+            Command::Load { front_end, id, .. } if !up => {
+                self.reply_to_load(now, worker, (front_end, id), Outcome::ConnectFailed, 0);
             }
-            Command::Hold { front_end, order, rank, copies } => {
-                self.hold(now, worker, (front_end, order), rank, copies);
+            Command::Load { front_end, id, rank, copies } => {
+                self.accept_load(now, worker, (front_end, id), rank, copies);
             }
-            Command::Probe { front_end, probe } => {
+            Command::Probe { front_end, id } => {
                 let outcome = if up { Outcome::Ok } else { Outcome::ConnectFailed };
-                let held = f64::from(self.workers[worker].held) + self.others_held;
-                self.replies.push((now, worker, Reply::Probed { front_end, probe, outcome, held }));
+                let inflight = f64::from(self.workers[worker].inflight) + self.background_inflight;
+                self.replies.push((now, worker, Reply::ProbeEnded { front_end, id, outcome, inflight }));
             }
             Command::Unload(rank) if up => self.unload(now, worker, rank),
             Command::Cancel(_) | Command::Unload(_) => {}
         }
     }
 
-    fn end(&mut self, now: Micros, worker: usize, call: CallOut, outcome: Outcome) {
-        let held = f64::from(self.workers[worker].held) + self.others_held;
-        let reply = Reply::Ended { call, outcome, warm: false, held, waited: 0 };
+    fn reply_to_call(&mut self, now: Micros, worker: usize, call: WorkerCall, outcome: Outcome) {
+        let inflight = f64::from(self.workers[worker].inflight) + self.background_inflight;
+        let reply = Reply::CallEnded { call, outcome, warm: false, inflight, waited: 0 };
         self.replies.push((now, worker, reply));
     }
 
-    fn held(
-        &mut self, now: Micros, worker: usize, front_end: usize, order: u64, outcome: Outcome, copies: u32,
+    fn reply_to_load(
+        &mut self, now: Micros, worker: usize, (front_end, id): (usize, u64), outcome: Outcome, copies: u32,
     ) {
-        self.replies.push((now, worker, Reply::Held { front_end, order, outcome, copies }));
+        self.replies.push((now, worker, Reply::LoadEnded { front_end, id, outcome, copies }));
     }
 
-    /// The copies of a function, others' included, which stand there if their calls keep them.
-    fn copies(&mut self, now: Micros, worker: usize, rank: usize) -> &mut Copies {
-        let known = self.workers[worker].copies.get(&rank);
-        let absent = known.is_none_or(|c| c.loaded == 0 && c.loading == 0);
-        if absent && self.others.hold(&self.catalogue, rank, worker, now) {
+    /// The copies of a function at a worker. Where none is loaded or loading, a copy that background calls keep
+    /// loaded is added first.
+    fn copies_at(&mut self, now: Micros, worker: usize, rank: usize) -> &mut Copies {
+        let existing = self.workers[worker].copies.get(&rank);
+        let absent = existing.is_none_or(|c| c.loaded == 0 && c.loading == 0);
+        if absent && self.background.keeps_copy(&self.catalogue, rank, worker, now) {
             let memory = self.catalogue.functions[rank].memory_mb;
             if self.make_room(now, worker, rank, memory) {
                 self.workers[worker].used_mb += memory;
                 let copies = self.workers[worker].copies.entry(rank).or_default();
                 (copies.loaded, copies.idle_since) = (1, now);
                 let process = self.workers[worker].process;
-                self.schedule(now + self.keep, worker, process, Due::Idle(rank));
+                self.schedule(now + self.keep_alive, worker, process, WorkerEvent::IdleTimeout(rank));
             }
         }
         self.workers[worker].copies.entry(rank).or_default()
     }
 
-    fn call(&mut self, now: Micros, worker: usize, call: CallOut) {
-        if self.workers[worker].held >= self.most_held {
-            return self.end(now, worker, call, Outcome::Full);
+    fn accept_call(&mut self, now: Micros, worker: usize, call: WorkerCall) {
+        if self.workers[worker].inflight >= self.max_inflight {
+            return self.reply_to_call(now, worker, call, Outcome::Full);
         }
-        let (lanes, rank, loads_on_absence) = (self.catalogue.lanes, call.rank, self.loads_on_absence);
-        let copies = self.copies(now, worker, rank);
+        let (lanes, rank, load_on_miss) = (self.catalogue.lanes, call.rank, self.load_on_miss);
+        let copies = self.copies_at(now, worker, rank);
         let warm = copies.loaded > 0;
         if copies.busy_lanes < copies.loaded * lanes {
-            self.workers[worker].held += 1;
-            return self.begin(now, worker, call, warm);
+            self.workers[worker].inflight += 1;
+            return self.start_call(now, worker, call, warm);
         }
         let absent = copies.loaded + copies.loading == 0;
-        if absent && !loads_on_absence {
-            return self.end(now, worker, call, Outcome::Miss);
+        if absent && !load_on_miss {
+            return self.reply_to_call(now, worker, call, Outcome::Miss);
         }
-        copies.waiting.push_back((call, warm));
-        let wanted = copies.waiting.len() as u32 > copies.loading * lanes;
-        self.workers[worker].held += 1;
-        let started = wanted && self.load(now, worker, rank);
+        copies.queued.push_back((call, warm));
+        let wanted = copies.queued.len() as u32 > copies.loading * lanes;
+        self.workers[worker].inflight += 1;
+        let started = wanted && self.request_load(now, worker, rank);
         if absent && !started {
-            // No room and nothing to wait for: it is turned away.
-            if let Some((call, _)) = self.copies(now, worker, rank).waiting.pop_back() {
-                self.workers[worker].held -= 1;
-                self.end(now, worker, call, Outcome::Full);
+            // No memory for a load, and no copy to wait for.
+            if let Some((call, _)) = self.copies_at(now, worker, rank).queued.pop_back() {
+                self.workers[worker].inflight -= 1;
+                self.reply_to_call(now, worker, call, Outcome::Full);
             }
         }
     }
 
-    fn begin(&mut self, now: Micros, worker: usize, call: CallOut, warm: bool) {
+    fn start_call(&mut self, now: Micros, worker: usize, call: WorkerCall, warm: bool) {
         let w = &mut self.workers[worker];
         w.running += 1;
-        let crowd = (f64::from(w.running) + self.others_held) / f64::from(self.cores);
-        let work = self.catalogue.functions[call.rank].work as f64 * crowd.max(1.0);
+        let slowdown = (f64::from(w.running) + self.background_inflight) / f64::from(self.cores);
+        let work = self.catalogue.functions[call.rank].work as f64 * slowdown.max(1.0);
         if let Some(copies) = w.copies.get_mut(&call.rank) {
             copies.busy_lanes += 1;
         }
@@ -388,24 +423,24 @@
             now + work as Micros,
             worker,
             process,
-            Due::Finished(call, warm, now.saturating_sub(call.arrived)),
+            WorkerEvent::CallFinished(call, warm, now.saturating_sub(call.arrived)),
         );
     }
 
-    fn finished(&mut self, now: Micros, worker: usize, call: CallOut, warm: bool, waited: Micros) {
+    fn finish_call(&mut self, now: Micros, worker: usize, call: WorkerCall, warm: bool, waited: Micros) {
         let w = &mut self.workers[worker];
-        (w.running, w.held) = (w.running - 1, w.held - 1);
-        let held = f64::from(w.held) + self.others_held;
+        (w.running, w.inflight) = (w.running - 1, w.inflight - 1);
+        let inflight = f64::from(w.inflight) + self.background_inflight;
         if let Some(copies) = w.copies.get_mut(&call.rank) {
             copies.busy_lanes -= 1;
         }
-        let reply = Reply::Ended { call, outcome: Outcome::Ok, warm, held, waited };
+        let reply = Reply::CallEnded { call, outcome: Outcome::Ok, warm, inflight, waited };
         self.replies.push((now, worker, reply));
-        self.serve_waiting(now, worker, call.rank);
+        self.start_queued_calls(now, worker, call.rank);
     }
 
-    /// Begins what waits while lanes are free; else the idle time of the copies begins.
-    fn serve_waiting(&mut self, now: Micros, worker: usize, rank: usize) {
+    /// Starts queued calls while lanes are free. Once none is queued, the idle time of the copies begins.
+    fn start_queued_calls(&mut self, now: Micros, worker: usize, rank: usize) {
         let lanes = self.catalogue.lanes;
         loop {
             let w = &mut self.workers[worker];
@@ -413,19 +448,20 @@
             if copies.busy_lanes >= copies.loaded * lanes {
                 return;
             }
-            let Some((call, warm)) = copies.waiting.pop_front() else {
+            let Some((call, warm)) = copies.queued.pop_front() else {
                 copies.idle_since = now;
                 let process = w.process;
-                return self.schedule(now + self.keep, worker, process, Due::Idle(rank));
+                return self.schedule(now + self.keep_alive, worker, process, WorkerEvent::IdleTimeout(rank));
             };
-            self.begin(now, worker, call, warm);
+            self.start_call(now, worker, call, warm);
         }
     }
 
-    /// Starts one more load, or has it wait for its turn; false if there is no room for it.
-    fn load(&mut self, now: Micros, worker: usize, rank: usize) -> bool {
+    /// Starts or queues a load. Returns false if the queue of loads is full or there is no memory for the copy.
+    fn request_load(&mut self, now: Micros, worker: usize, rank: usize) -> bool {
         let memory = self.catalogue.functions[rank].memory_mb;
-        let full = self.workers[worker].loads_waiting.len() as u32 >= 2 * self.loads_at_once;
+        let full =
+            self.workers[worker].queued_loads.len() as u32 >= QUEUED_LOADS_PER_SLOT * self.loads_at_once;
         if full || !self.make_room(now, worker, rank, memory) {
             return false;
         }
@@ -435,7 +471,7 @@
         if w.loads < self.loads_at_once {
             self.start_load(now, worker, rank);
         } else {
-            w.loads_waiting.push_back(rank);
+            w.queued_loads.push_back(rank);
         }
         true
     }
@@ -448,10 +484,10 @@
         let (fetch, start) = (time * self.fetch_share, time * (1.0 - self.fetch_share));
         let fetched = self.store.fetch(now, fetch as Micros);
         let at = fetched.map_or(now, |at| at + start as Micros);
-        self.schedule(at, worker, process, Due::Loaded(rank, fetched.is_some()));
+        self.schedule(at, worker, process, WorkerEvent::LoadFinished(rank, fetched.is_some()));
     }
 
-    fn loaded(&mut self, now: Micros, worker: usize, rank: usize, ok: bool) {
+    fn finish_load(&mut self, now: Micros, worker: usize, rank: usize, ok: bool) {
         let memory = self.catalogue.functions[rank].memory_mb;
         let w = &mut self.workers[worker];
         w.loads -= 1;
@@ -462,83 +498,83 @@
         if !ok {
             w.used_mb -= memory;
             self.counts.failed_loads += 1;
-            self.give_up_waiting(now, worker, rank);
+            self.reject_queued_calls(now, worker, rank);
         }
-        self.answer_orders(now, worker, rank, ok);
-        self.serve_waiting(now, worker, rank);
-        let next = self.workers[worker].loads_waiting.pop_front();
+        self.reply_to_pending_loads(now, worker, rank, ok);
+        self.start_queued_calls(now, worker, rank);
+        let next = self.workers[worker].queued_loads.pop_front();
         if let Some(rank) = next {
             self.start_load(now, worker, rank);
         }
     }
 
-    /// A load failed: calls that waited for nothing else end in a miss.
-    fn give_up_waiting(&mut self, now: Micros, worker: usize, rank: usize) {
+    /// Ends queued calls in a miss after a failed load, unless another copy is loaded or loading.
+    fn reject_queued_calls(&mut self, now: Micros, worker: usize, rank: usize) {
         let w = &mut self.workers[worker];
         let Some(copies) = w.copies.get_mut(&rank) else { return };
         if copies.loaded + copies.loading > 0 {
             return;
         }
-        let waiting = std::mem::take(&mut copies.waiting);
-        w.held -= waiting.len() as u32;
-        waiting.into_iter().for_each(|(call, _)| self.end(now, worker, call, Outcome::Miss));
+        let queued = std::mem::take(&mut copies.queued);
+        w.inflight -= queued.len() as u32;
+        queued.into_iter().for_each(|(call, _)| self.reply_to_call(now, worker, call, Outcome::Miss));
     }
 
-    fn answer_orders(&mut self, now: Micros, worker: usize, rank: usize, ok: bool) {
+    fn reply_to_pending_loads(&mut self, now: Micros, worker: usize, rank: usize, ok: bool) {
         let Some(copies) = self.workers[worker].copies.get_mut(&rank) else { return };
-        let (stand, more) = (copies.loaded, copies.loading > 0);
-        let (ended, left): (Vec<_>, Vec<_>) =
-            copies.orders.drain(..).partition(|&(_, _, wanted)| stand >= wanted || !more);
-        copies.orders = left;
-        for (front_end, order, wanted) in ended {
-            let outcome = if stand >= wanted || ok { Outcome::Ok } else { Outcome::Error };
-            self.held(now, worker, front_end, order, outcome, stand);
+        let (loaded, more_loading) = (copies.loaded, copies.loading > 0);
+        let (ended, pending): (Vec<_>, Vec<_>) =
+            copies.pending_loads.drain(..).partition(|load| loaded >= load.copies || !more_loading);
+        copies.pending_loads = pending;
+        for PendingLoad { front_end, id, copies } in ended {
+            let outcome = if loaded >= copies || ok { Outcome::Ok } else { Outcome::Error };
+            self.reply_to_load(now, worker, (front_end, id), outcome, loaded);
         }
     }
 
-    fn hold(&mut self, now: Micros, worker: usize, who: (usize, u64), rank: usize, wanted: u32) {
-        let (front_end, order) = who;
+    fn accept_load(&mut self, now: Micros, worker: usize, sender: (usize, u64), rank: usize, wanted: u32) {
         if wanted == 0 {
-            self.counts.questions += 1;
-            let stand = self.copies(now, worker, rank).loaded;
-            return self.held(now, worker, front_end, order, Outcome::Ok, stand);
+            self.counts.copy_queries += 1;
+            let loaded = self.copies_at(now, worker, rank).loaded;
+            return self.reply_to_load(now, worker, sender, Outcome::Ok, loaded);
         }
-        self.counts.holds += 1;
-        let copies = self.copies(now, worker, rank);
-        let stand = copies.loaded;
-        if copies.busy_lanes == 0 && stand > 0 {
+        self.counts.load_commands += 1;
+        let copies = self.copies_at(now, worker, rank);
+        let loaded = copies.loaded;
+        if copies.busy_lanes == 0 && loaded > 0 {
             copies.idle_since = now;
             let process = self.workers[worker].process;
-            self.schedule(now + self.keep, worker, process, Due::Idle(rank));
+            self.schedule(now + self.keep_alive, worker, process, WorkerEvent::IdleTimeout(rank));
         }
-        if stand >= wanted {
-            return self.held(now, worker, front_end, order, Outcome::Ok, stand);
+        if loaded >= wanted {
+            return self.reply_to_load(now, worker, sender, Outcome::Ok, loaded);
         }
-        let coming = self.copies(now, worker, rank).loading;
-        for _ in (stand + coming)..wanted {
-            if !self.load(now, worker, rank) {
-                return self.held(now, worker, front_end, order, Outcome::Full, stand);
+        let loading = self.copies_at(now, worker, rank).loading;
+        for _ in (loaded + loading)..wanted {
+            if !self.request_load(now, worker, rank) {
+                return self.reply_to_load(now, worker, sender, Outcome::Full, loaded);
             }
         }
-        self.copies(now, worker, rank).orders.push((front_end, order, wanted));
+        let (front_end, id) = sender;
+        self.copies_at(now, worker, rank).pending_loads.push(PendingLoad { front_end, id, copies: wanted });
     }
 
-    fn cancel(&mut self, worker: usize, call: CallOut) {
+    fn cancel_call(&mut self, worker: usize, call: WorkerCall) {
         let w = &mut self.workers[worker];
         let Some(copies) = w.copies.get_mut(&call.rank) else { return };
-        let same = |c: &CallOut| (c.front_end, c.id, c.attempt) == (call.front_end, call.id, call.attempt);
-        let before = copies.waiting.len();
-        copies.waiting.retain(|(c, _)| !same(c));
-        w.held -= (before - copies.waiting.len()) as u32;
+        let key = |c: &WorkerCall| (c.front_end, c.request, c.attempt);
+        let before = copies.queued.len();
+        copies.queued.retain(|(c, _)| key(c) != key(&call));
+        w.inflight -= (before - copies.queued.len()) as u32;
     }
 
     fn unload(&mut self, now: Micros, worker: usize, rank: usize) {
-        self.counts.unloads += 1;
-        self.drop_idle(now, worker, rank);
+        self.counts.unload_commands += 1;
+        self.unload_idle(now, worker, rank);
     }
 
-    /// Unloads what is idle of a function; tells how much memory that gave back, in MB.
-    fn drop_idle(&mut self, _now: Micros, worker: usize, rank: usize) -> f64 {
+    /// Unloads the idle copies of a function. Returns the memory that this frees, in MB.
+    fn unload_idle(&mut self, _now: Micros, worker: usize, rank: usize) -> f64 {
         let lanes = self.catalogue.lanes;
         let memory = self.catalogue.functions[rank].memory_mb;
         let w = &mut self.workers[worker];
@@ -553,16 +589,17 @@
         freed
     }
 
-    /// The keep-alive of idle copies may have passed.
-    fn lapse(&mut self, now: Micros, worker: usize, rank: usize) {
-        let keep = self.keep;
+    /// Unloads the copies of a function if they have been idle for the keep-alive time.
+    fn expire_idle(&mut self, now: Micros, worker: usize, rank: usize) {
+        let keep_alive = self.keep_alive;
         let Some(copies) = self.workers[worker].copies.get(&rank) else { return };
-        if copies.busy_lanes == 0 && now >= copies.idle_since + keep {
-            self.drop_idle(now, worker, rank);
+        if copies.busy_lanes == 0 && now >= copies.idle_since + keep_alive {
+            self.unload_idle(now, worker, rank);
         }
     }
 
-    /// Makes room for a copy: idle copies of other functions go, the one idle longest first.
+    /// Makes room for a copy by unloading idle copies of other functions, the ones idle longest first. Returns false
+    /// if that does not free enough memory.
     fn make_room(&mut self, now: Micros, worker: usize, rank: usize, memory: f64) -> bool {
         loop {
             let w = &self.workers[worker];
@@ -571,7 +608,7 @@
             }
             let idle = w.copies.iter().filter(|(&r, c)| r != rank && c.loaded > 0 && c.busy_lanes == 0);
             let Some((&oldest, _)) = idle.min_by_key(|(_, c)| c.idle_since) else { return false };
-            if self.drop_idle(now, worker, oldest) <= 0.0 {
+            if self.unload_idle(now, worker, oldest) <= 0.0 {
                 return false;
             }
             self.counts.evicted += 1;
@@ -587,9 +624,9 @@
             memory_mb,
             used_mb: 0.0,
             running: 0,
-            held: 0,
+            inflight: 0,
             loads: 0,
-            loads_waiting: VecDeque::new(),
+            queued_loads: VecDeque::new(),
             copies: BTreeMap::new(),
         }
     }
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -13,7 +13,7 @@
 /// Failures of the sample, one a second from 2 s on, each a second long.
 #[allow(dead_code)]
 pub fn short_failures() -> Vec<Failure> {
-    let mut failures = sample().failure;
+    let mut failures = sample().failures;
     for (n, failure) in failures.iter_mut().enumerate() {
         (failure.at_s, failure.for_s) = (2.0 + n as f64, failure.for_s.map(|_| 1.0));
     }
@@ -25,7 +25,7 @@
     let mut experiment = sample();
     (experiment.duration_s, experiment.warm_up_s) = (8.0, 2.0);
     (experiment.fleet.front_ends, experiment.fleet.workers) = (4, 40);
-    experiment.failure.clear();
+    experiment.failures.clear();
     change(&mut experiment);
     let (settings, _) = node::settings(&experiment).expect("the sample's settings are sound");
     fleet::run(&experiment, settings)
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -8,10 +8,10 @@
 fn the_same_file_and_seed_give_the_same_result() {
     let text = |seed| {
         let report = play(|e| {
-            e.failure = short_failures();
+            e.failures = short_failures();
             e.seed = seed;
         });
-        report.virtual_part().expect("JSON")
+        report.deterministic_json().expect("JSON")
     };
     let first = text(5);
     assert_eq!(first, text(5));
@@ -22,10 +22,10 @@
 
 #[test]
 fn every_call_ends_in_one_way() {
-    let counts = play(|e| e.failure = short_failures()).calls.counts;
+    let counts = play(|e| e.failures = short_failures()).calls.counts;
     let ended = counts.served_in_time + counts.served_late + counts.refused + counts.failed + counts.lost;
-    assert_eq!(counts.asked, ended);
-    assert!(counts.asked > 1_500 && counts.lost > 0, "{counts:?}");
+    assert_eq!(counts.calls, ended);
+    assert!(counts.calls > 1_500 && counts.lost > 0, "{counts:?}");
 }
 
 #[test]
@@ -39,7 +39,7 @@
 #[test]
 fn front_ends_that_are_only_told_of_keep_copies() {
     let alone = play(|e| e.fleet.workers = 400);
-    let told = play(|e| (e.fleet.workers, e.fleet.told_front_ends) = (400, Some(40)));
-    let part = |r: &FleetReport| r.calls.counts.cold as f64 / r.calls.counts.asked as f64;
+    let told = play(|e| (e.fleet.workers, e.fleet.configured_front_ends) = (400, Some(40)));
+    let part = |r: &FleetReport| r.calls.counts.cold as f64 / r.calls.counts.calls as f64;
     assert!(part(&told) < part(&alone) / 2.0, "{} and {}", part(&told), part(&alone));
 }
--- a/scale/tests/slopes.rs
+++ b/scale/tests/slopes.rs
@@ -9,7 +9,7 @@
 /// One front end of 520 before this many workers, calling this many functions.
 fn one_of_many(workers: u32, functions: u32) -> FleetReport {
     play(|e| {
-        (e.fleet.front_ends, e.fleet.told_front_ends, e.fleet.workers) = (1, Some(520), workers);
+        (e.fleet.front_ends, e.fleet.configured_front_ends, e.fleet.workers) = (1, Some(520), workers);
         (e.functions.count, e.workers.cores) = (functions, 10_000);
         e.store.fetches_per_s = 10_000.0;
     })
@@ -46,8 +46,8 @@
 #[test]
 fn questions_and_orders_a_call_do_not_grow_with_the_list() {
     let (few, many) = (one_of_many(500, 1_000).control, one_of_many(4_000, 1_000).control);
-    assert!(many.questions_s <= 1.5 * few.questions_s + 1.0, "{few:?} {many:?}");
-    assert!(many.holds_s <= 1.5 * few.holds_s + 1.0, "{few:?} {many:?}");
+    assert!(many.copy_queries_s <= 1.5 * few.copy_queries_s + 1.0, "{few:?} {many:?}");
+    assert!(many.loads_s <= 1.5 * few.loads_s + 1.0, "{few:?} {many:?}");
 }
 
 /// Front ends that lose the board for some seconds while the list changes, with this many workers and memory of the
@@ -64,19 +64,19 @@
     };
     let changes = |e: &mut Experiment| {
         (e.fleet.front_ends, e.fleet.workers, e.calls.per_front_end_s) = (24, workers, 1.0);
-        (e.board.history, e.board.changes_per_hour) = (history, 3_600.0);
-        e.failure = (0..3).map(cut).collect();
+        (e.discovery.history, e.discovery.changes_per_hour) = (history, 3_600.0);
+        e.failures = (0..3).map(cut).collect();
     };
     play(changes)
 }
 
 #[test]
 fn a_reconnect_is_told_what_was_missed_and_no_more() {
-    let (few, many) = (cut_off(50, 1_000).board, cut_off(800, 1_000).board);
+    let (few, many) = (cut_off(50, 1_000).discovery, cut_off(800, 1_000).discovery);
     assert_eq!((few.resumed, few.whole_lists), (24, 0));
     assert_eq!((many.resumed, many.whole_lists), (24, 0));
     assert_eq!(few.peak_bytes_s, many.peak_bytes_s, "bytes follow the list's length");
-    let whole = cut_off(800, 1).board;
+    let whole = cut_off(800, 1).discovery;
     assert_eq!((whole.resumed, whole.whole_lists), (0, 24), "the board has forgotten what was missed");
     assert!(whole.peak_bytes_s > 20 * many.peak_bytes_s);
 }
@@ -85,7 +85,7 @@
 fn a_change_costs_a_front_end_the_same_in_any_list() {
     let bytes = |workers| {
         let report = play(|e| {
-            (e.fleet.workers, e.board.changes_per_hour) = (workers, 3_600.0);
+            (e.fleet.workers, e.discovery.changes_per_hour) = (workers, 3_600.0);
             (e.fleet.front_ends, e.calls.per_front_end_s) = (2, 1.0);
         });
         report.control.list_bytes_s
