--- a/scale/src/bounds.rs
+++ b/scale/src/bounds.rs
@@ -13,7 +13,8 @@
 /// Bytes of a controller for each function that it keeps: its record, its known copies, and the start of its
 /// preference order.
 const BYTES_PER_FUNCTION: f64 = 5_000.0;
-/// Bytes of a real front end beside its controller: the program, and the ring buffers and stacks of its connections.
+/// Bytes of a real front end beside its controller: the program, and the ring buffers and stacks of its
+/// connections.
 const BYTES_PER_PROCESS: f64 = 24e6;
 /// Bytes of the simulated environment for each worker and function.
 const WORLD_BYTES_PER_ITEM: f64 = 2_000.0;
@@ -41,8 +42,8 @@
     },
 }
 
-/// Estimated memory of a controller in this experiment, in bytes: linear in the listed workers and in the functions
-/// that it keeps.
+/// Estimated memory of a controller in this experiment, in bytes: linear in the listed workers and in the
+/// functions that it keeps.
 pub fn controller_bytes(experiment: &Experiment, settings: &Settings) -> f64 {
     let catalogue = Catalogue::new(experiment);
     let retention_s = FUNCTION_RETENTION * settings.keep as f64 / 1e6;
--- a/scale/src/catalogue.rs
+++ b/scale/src/catalogue.rs
@@ -5,6 +5,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
+/// Separates the catalogue's random numbers from others of the same seed: "catalogu" in ASCII.
+const CATALOGUE_SEED: u64 = 0x6361_7461_6c6f_6775;
+
 /// A function.
 #[derive(Clone, Debug)]
 pub struct Function {
@@ -34,7 +37,7 @@
 impl Catalogue {
     /// Draws the functions of an experiment from its seed.
     pub fn new(experiment: &Experiment) -> Self {
-        let mut random = Pcg64::seed_from_u64(experiment.seed ^ 0x6361_7461_6c6f_6775);
+        let mut random = Pcg64::seed_from_u64(experiment.seed ^ CATALOGUE_SEED);
         let config = &experiment.functions;
         let class_shares = &experiment.calls.class_shares;
         let functions = (0..config.count).map(|_| Function {
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -1,8 +1,8 @@
 //! The experiment file, in TOML. It is validated completely before the run starts.
 //!
-//! Times are in seconds (`_s`) or milliseconds (`_ms`), sizes in megabytes (`_mb`), rates in events per second
-//! (`_per_s`). What a front end is configured with for its deployment (classes, limits, prices, machine memory) is in
-//! the settings file that `settings` names, in the platform's own format.
+//! Times are in seconds (`_s`) or milliseconds (`_ms`), sizes in megabytes (`_mb`), rates in events per
+//! second (`_per_s`). What a front end is configured with for its deployment (classes, limits, prices,
+//! machine memory) is in the settings file that `settings` names, in the platform's own format.
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
@@ -79,8 +79,8 @@
 pub struct FleetConfig {
     /// Front ends that run in the experiment.
     pub front_ends: u32,
-    /// Front ends that the settings name, if more than run. The others are simulated as background load: calls and
-    /// copies at the workers.
+    /// Front ends that the settings name, if more than run. The others are simulated as background load:
+    /// calls and copies at the workers.
     #[serde(rename = "told_front_ends")]
     pub configured_front_ends: Option<u32>,
     /// Regions; zones and front ends are spread evenly over them.
@@ -126,7 +126,8 @@
 pub struct FunctionConfig {
     /// Number of functions.
     pub count: u32,
-    /// Exponent of the popularity (Zipf): the call share of rank r is proportional to r to the power of minus this.
+    /// Exponent of the popularity (Zipf): the call share of rank r is proportional to r to the power of minus
+    /// this.
     pub exponent: f64,
     /// Memory of a copy, drawn uniformly.
     pub memory_mb: [f64; 2],
@@ -147,8 +148,8 @@
     /// The busiest front end gets this multiple of the mean; the other front ends share the rest evenly.
     #[serde(default = "default_busiest")]
     pub busiest: f64,
-    /// Time over which the call rate grows linearly from zero to its full value. Without a ramp the run starts with
-    /// the whole fleet cold, which is a case of its own.
+    /// Time over which the call rate grows linearly from zero to its full value. Without a ramp the run
+    /// starts with the whole fleet cold, which is a case of its own.
     #[serde(default)]
     pub ramp_s: f64,
     /// Share of the functions in each class, in the settings' order.
@@ -174,7 +175,7 @@
 pub struct DiscoveryConfig {
     /// Delay of a change, drawn uniformly for each front end and change.
     pub delay_ms: [f64; 2],
-    /// Events that the discovery server can send again; a front end that missed more gets the whole list.
+    /// Events that the discovery server can send again; a front end that missed more gets the full list.
     pub history: u32,
     /// Changes of single workers per hour, spread evenly.
     pub changes_per_hour: f64,
@@ -186,7 +187,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeConfig {
-    /// Whether the configuration holds the whole worker list; otherwise the discovery server sends it.
+    /// Whether the configuration holds the full worker list; otherwise the discovery server sends it.
     #[serde(rename = "told_at_start")]
     pub list_in_configuration: bool,
     /// Memory limit configured for each front end.
--- a/scale/src/fleet/calls.rs
+++ b/scale/src/fleet/calls.rs
@@ -181,13 +181,14 @@
         &self.latency
     }
 
-    /// Time from the arrival of a call at the front end to its start at a worker, of calls that waited for a load.
+    /// Time from the arrival of a call at the front end to its start at a worker, of calls that waited for a
+    /// load.
     pub fn cold_start(&self) -> &DurationHistogram {
         &self.cold_start
     }
 
-    /// Seconds from `since` until the share of calls served in time has recovered and stays so until `until`, both
-    /// counted from the start of the run. `None` if it does not recover by then.
+    /// Seconds from `since` until the share of calls served in time has recovered and stays so until `until`,
+    /// both counted from the start of the run. `None` if it does not recover by then.
     ///
     /// Recovered means at least 95 % of the share in the five seconds before `since`.
     pub fn recovery_time(&self, since: Micros, until: Micros) -> Option<u64> {
@@ -205,14 +206,15 @@
         }
     }
 
-    /// The smallest share of the calls of one second that was served in time, between two times counted from the
-    /// start of the run. The second before is included: some of its calls were still open at `since`.
+    /// The smallest share of the calls of one second that was served in time, between two times counted from
+    /// the start of the run. The second before is included: some of its calls were still open at `since`.
     pub fn min_in_time_share(&self, since: Micros, until: Micros) -> f64 {
         let (begin, end) = ((since / SECOND) as usize, (until / SECOND) as usize);
         (begin.saturating_sub(1)..end).filter_map(|at| self.in_time_share(at, at + 1)).fold(1.0, f64::min)
     }
 
-    /// The share of the calls sent in these seconds of the run that was served in time; `None` if there were none.
+    /// The share of the calls sent in these seconds of the run that was served in time; `None` if there were
+    /// none.
     fn in_time_share(&self, from: usize, to: usize) -> Option<f64> {
         let range = self.seconds.get(from..to.min(self.seconds.len()))?;
         let calls: u64 = range.iter().map(|s| s.calls).sum();
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -7,7 +7,7 @@
     CallReport, ControlReport, DiscoveryReport, ExperimentSize, FailureReport, FleetReport, Machine,
     StateReport, WorkerReport,
 };
-use crate::time::{milliseconds, seconds, VirtualClock, SECOND};
+use crate::time::{milliseconds, seconds, VirtualClock, MILLISECOND, SECOND};
 use crate::world::{Change, ListEvent, Reply, Schedule, ScheduledChange, WorkerList, World};
 use heronslip::discovery::backoff::Backoff;
 use heronslip::limits::Limits;
@@ -37,6 +37,12 @@
 const COMMENT_BYTES: u64 = 3;
 /// Bytes of a request to the discovery server and of the head of its response.
 const DISCOVERY_REQUEST_BYTES: u64 = 220;
+/// Time that a client takes to send a call to another front end, when its own is down.
+const REDIRECT_DELAY: Micros = MILLISECOND;
+/// Time after which a client tries its own front end again, when all are down.
+const ALL_DOWN_RETRY_DELAY: Micros = SECOND;
+/// Separates the engine's random numbers from others of the same seed: "engine" in ASCII.
+const ENGINE_SEED: u64 = 0x656e_6769_6e65;
 
 /// Runs an experiment on the virtual clock.
 pub fn run(experiment: &Experiment, settings: Settings) -> FleetReport {
@@ -73,8 +79,8 @@
     requests: BTreeMap<Micros, u64>,
     /// Bytes of requests and responses by time bucket.
     bytes: BTreeMap<Micros, u64>,
-    /// Reconnects that got the whole list.
-    whole_lists: u64,
+    /// Reconnects that got the full list.
+    full_lists: u64,
     /// Reconnects that got the missed events only.
     resumed: u64,
 }
@@ -137,7 +143,7 @@
             schedule: Schedule::new(experiment),
             calls: CallStatistics::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
-            random: Pcg64::seed_from_u64(experiment.seed ^ 0x656e_6769_6e65),
+            random: Pcg64::seed_from_u64(experiment.seed ^ ENGINE_SEED),
             propagations: BTreeMap::new(),
             propagation_times: DurationHistogram::default(),
             discovery: DiscoveryLoad::default(),
@@ -218,8 +224,8 @@
         let count = self.front_ends.len();
         let up = (1..count).map(|step| (from + step) % count).find(|&n| self.front_ends[n].is_up());
         match up {
-            Some(n) => self.front_ends[n].schedule(at + milliseconds(1.0), FrontEndEvent::Retry(call)),
-            None => self.front_ends[from].schedule(at + SECOND, FrontEndEvent::Retry(call)),
+            Some(n) => self.front_ends[n].schedule(at + REDIRECT_DELAY, FrontEndEvent::Retry(call)),
+            None => self.front_ends[from].schedule(at + ALL_DOWN_RETRY_DELAY, FrontEndEvent::Retry(call)),
         }
     }
 
@@ -312,7 +318,8 @@
         open.into_iter().for_each(|number| self.event_applied(number, self.clock.now()));
     }
 
-    /// Cuts a front end off from the discovery server. Its program closes the connection after the silence timeout.
+    /// Cuts a front end off from the discovery server. Its program closes the connection after the silence
+    /// timeout.
     fn cut(&mut self, now: Micros, n: usize) {
         self.subscriptions[n].cut_at = Some(now);
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
@@ -320,7 +327,8 @@
         self.front_ends[n].schedule(lost, FrontEndEvent::Discovery(DiscoveryState::Lost));
     }
 
-    /// Ends a cut: the front end reconnects with its next request and gets the events it missed, or the whole list.
+    /// Ends a cut: the front end reconnects with its next request and gets the events it missed, or the full
+    /// list.
     fn restore(&mut self, now: Micros, n: usize) {
         let cut_at = self.subscriptions[n].cut_at.take();
         if !self.front_ends[n].is_up() {
@@ -338,11 +346,11 @@
                     .for_each(|e| self.front_ends[n].schedule(reconnected, FrontEndEvent::ListChange(e)));
             }
             None => {
-                self.discovery.whole_lists += 1;
+                self.discovery.full_lists += 1;
                 self.discovery.add_request(reconnected, self.list.snapshot_bytes() as u64);
-                let whole = Arc::new(self.list.snapshot());
+                let snapshot = Arc::new(self.list.snapshot());
                 self.front_ends[n]
-                    .schedule(reconnected, FrontEndEvent::ListSnapshot(self.list.last_event(), whole));
+                    .schedule(reconnected, FrontEndEvent::ListSnapshot(self.list.last_event(), snapshot));
             }
         }
         self.front_ends[n].schedule(reconnected, FrontEndEvent::Discovery(DiscoveryState::Current));
@@ -351,8 +359,8 @@
         self.reconnect_times.add(reconnected.saturating_sub(now));
     }
 
-    /// When a front end that was cut off reconnects after the cut has ended. Once its program notices the silence, it
-    /// sends requests that hang until they time out, with the program's own backoff between them.
+    /// When a front end that was cut off reconnects after the cut has ended. Once its program notices the
+    /// silence, it sends requests that hang until they time out, with the program's own backoff between them.
     fn reconnect_time(&mut self, n: usize, cut_at: Micros, restored_at: Micros) -> Micros {
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
@@ -362,15 +370,15 @@
         let mut at = cut_at + micros(limits.board_silence) - self.random.random_range(0..SECOND);
         while at < restored_at {
             self.failed_requests += 1;
-            // A request that is open when the cut ends times out too: its first packet is lost, and it ends before
-            // the packet is sent again.
+            // A request that is open when the cut ends times out too: its first packet is lost, and it ends
+            // before the packet is sent again.
             at += request_timeout + micros(backoff.wait());
         }
         at + 2 * self.latency(n, 0)
     }
 
-    /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout of
-    /// connections.
+    /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout
+    /// of connections.
     fn count_connections(&mut self) {
         let idle = self.settings.connection_idle;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
@@ -448,7 +456,7 @@
                 reconnect: self.reconnect_times.quantiles(),
                 failed_requests: self.failed_requests,
                 resumed: self.discovery.resumed,
-                whole_lists: self.discovery.whole_lists,
+                full_lists: self.discovery.full_lists,
                 peak_requests_s: peak_per_second(&self.discovery.requests),
                 peak_bytes_s: peak_per_second(&self.discovery.bytes),
             },
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -14,11 +14,14 @@
 
 /// Wait of a client before its next retry, where a refusal states none.
 const DEFAULT_RETRY_WAIT_MS: f64 = 100.0;
-/// A call that started within this time of its arrival, after a load command, found the copy already loaded and does
-/// not count as cold.
+/// A call that started within this time of its arrival, after a load command, found the copy already loaded
+/// and does not count as cold.
 const ALREADY_LOADED_WITHIN: Micros = 20_000;
 /// Timeout of a client whose class states none.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 3 * SECOND;
+/// Spreads the seeds of runs, so that front ends of different runs get different seeds: 2^64 divided by the
+/// golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// An event at a front end.
 #[derive(Debug)]
@@ -29,7 +32,7 @@
     ListChange(Arc<ListEvent>),
     /// The state of the connection to the discovery server changes.
     Discovery(DiscoveryState),
-    /// The discovery server sends the whole worker list, as of the event of this number.
+    /// The discovery server sends the full worker list, as of the event of this number.
     ListSnapshot(u64, Arc<Vec<Entry>>),
     /// A client retries a call, or sends it here because its own front end is down.
     Retry(ClientCall),
@@ -147,7 +150,7 @@
     /// The controller of the running process; `None` while the front end is down.
     controller: Option<Controller>,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
-    /// Number of the event queued last.
+    /// Sequence number of the event queued last.
     sequence: u64,
     now: Micros,
     /// Number of the last request, load command or probe.
@@ -184,7 +187,8 @@
 }
 
 impl SharedContext {
-    /// The position of a front end among those that the settings name; the ones that run are spread evenly over them.
+    /// The position of a front end among those that the settings name; the ones that run are spread evenly
+    /// over them.
     fn index_of(&self, number: usize) -> u32 {
         (number as u64 * u64::from(self.settings.gateways) / u64::from(self.front_ends.max(1))) as u32
     }
@@ -193,7 +197,7 @@
 impl FrontEnd {
     /// A front end that is down, whose clients make `calls_per_s` calls per second once they start.
     pub fn new(number: usize, calls_per_s: f64, shared: &SharedContext) -> Self {
-        let seed = shared.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
+        let seed = shared.seed.wrapping_mul(SEED_MULTIPLIER) ^ number as u64;
         FrontEnd {
             number,
             settings: Arc::new(Settings { index: shared.index_of(number), ..(*shared.settings).clone() }),
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Starts a new process, with the whole worker list as of the event of this number.
+    /// Starts a new process, with the full worker list as of the event of this number.
     pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<Entry>>) {
         self.controller = Some(Controller::new((*self.settings).clone(), self.random.random()));
         self.schedule(now, FrontEndEvent::ListSnapshot(number, list));
@@ -289,7 +293,7 @@
         self.last_contact.iter().filter(move |(_, &last)| last > since).map(|(&worker, _)| worker)
     }
 
-    /// Draws the time until the next call of its own clients.
+    /// Draws the time until the next call of its own clients, which arrive as a Poisson process.
     fn next_interval(&mut self) -> Micros {
         let drawn: f64 = self.random.random();
         (-(1.0 - drawn).ln() / self.calls_per_s * SECOND as f64) as Micros + 1
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -35,7 +35,8 @@
         #[arg(long, default_value = "deploy/balancer.toml")]
         deploy: PathBuf,
     },
-    /// Real front ends under seeded faults, checked against the rules. Exits with 0 only if no rule was broken.
+    /// Real front ends under seeded faults, checked against the rules. Exits with 0 only if no rule was
+    /// broken.
     Soak(SoakArgs),
 }
 
@@ -67,7 +68,7 @@
 struct RunArgs {
     /// The experiment file.
     experiment: PathBuf,
-    /// Directory for the results, NAME.json and NAME.md.
+    /// Directory for NAME.json and NAME.md.
     #[arg(long)]
     out: Option<PathBuf>,
     /// Overrides the seed.
@@ -79,7 +80,7 @@
     /// Overrides the number of functions.
     #[arg(long)]
     functions: Option<u32>,
-    /// Overrides the exponent of the functions' popularity.
+    /// Overrides the exponent of the popularity.
     #[arg(long)]
     exponent: Option<f64>,
     /// Overrides the calls per second at a front end.
@@ -88,7 +89,7 @@
     /// Overrides the number of front ends.
     #[arg(long)]
     front_ends: Option<u32>,
-    /// Overrides the number of changes of the worker list per hour.
+    /// Overrides the list changes per hour.
     #[arg(long)]
     changes_per_hour: Option<f64>,
     /// Overrides the name of the results.
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -40,8 +40,8 @@
     tokio::time::timeout(Duration::from_secs(1), check).await.ok().flatten().is_some()
 }
 
-/// The requests of a connection whose responses are not complete, by request ID: the output so far, and where the
-/// complete one goes.
+/// The requests of a connection whose responses are not complete, by request ID: the output so far, and where
+/// the complete one goes.
 type PendingResponses = Arc<Mutex<HashMap<u16, (Vec<u8>, oneshot::Sender<Vec<u8>>)>>>;
 
 /// A persistent connection to a front end.
@@ -218,7 +218,8 @@
     }
 }
 
-/// The outcome of a call from its CGI response, and the time until it started at the worker if it waited for a load.
+/// The outcome of a call from its CGI response, and the time until it started at the worker if it waited for
+/// a load.
 fn parse_response(output: &[u8], sent: Micros) -> (CallOutcome, Option<Micros>) {
     let text = String::from_utf8_lossy(output);
     let status = text.strip_prefix("Status: ").and_then(|s| s.get(..3)).unwrap_or_default();
--- a/scale/src/node/deploy.rs
+++ b/scale/src/node/deploy.rs
@@ -6,6 +6,10 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
+/// Spreads the seeds of runs, so that front ends of different runs get different seeds: 2^64 divided by the
+/// golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
 /// Why a deploy or settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DeployError {
@@ -62,7 +66,8 @@
     }
 }
 
-/// Reads the settings file of an experiment and adds the number of front ends and the zones, both parsed and as JSON.
+/// Reads the settings file of an experiment and adds the number of front ends and the zones, both parsed and
+/// as JSON.
 ///
 /// # Errors
 /// Fails if the settings file cannot be read or does not contain a JSON object.
@@ -88,7 +93,7 @@
 /// The configuration of a front end, as the JSON text of the file that `NODE_CONFIG` names.
 pub fn front_end_config(
     experiment: &Experiment, settings: &Object, front_end: usize, discovery: std::net::SocketAddr,
-    known_list: &str,
+    configured_list: &str,
 ) -> String {
     let node = &experiment.node;
     let mut settings = settings.clone();
@@ -98,8 +103,8 @@
     settings.insert("index".to_owned(), Value::Number(Number::U64(index)));
     let settings = json::to_string(&Value::Object(settings));
     format!(
-        r#"{{"name":"n{front_end}","listen":"127.0.0.1:0","seed":"{:016x}","limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},"board":"{discovery}","known":{known_list},"settings":{settings}}}"#,
-        experiment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ front_end as u64,
+        r#"{{"name":"n{front_end}","listen":"127.0.0.1:0","seed":"{:016x}","limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},"board":"{discovery}","known":{configured_list},"settings":{settings}}}"#,
+        experiment.seed.wrapping_mul(SEED_MULTIPLIER) ^ front_end as u64,
         node.memory_mb,
         node.sockets,
     )
--- a/scale/src/node/discovery.rs
+++ b/scale/src/node/discovery.rs
@@ -1,4 +1,5 @@
-//! A simulated discovery server: it streams the worker list as server-sent events, whole or from an event number on.
+//! A simulated discovery server: it streams the worker list as server-sent events, in full or from an event
+//! number on.
 use super::deploy::zone_name;
 use crate::world::{worker_number, WorkerList};
 use heronslip_policy::{Entry, WorkerState};
@@ -20,16 +21,17 @@
 /// Counters of the discovery server.
 #[derive(Debug, Default)]
 pub struct DiscoveryCounts {
-    /// Requests, refused ones included.
+    /// Requests, including those refused during a cut.
     pub requests: AtomicU64,
-    /// Whole lists sent.
-    pub whole_lists: AtomicU64,
+    /// Full lists sent.
+    pub full_lists: AtomicU64,
     /// Bytes of the events and comments sent.
     pub bytes: AtomicU64,
-    /// Times of the requests since the last cut ended.
+    /// Times of the accepted requests since the last cut ended, or since the start.
     pub requests_after_cut: Mutex<Vec<Instant>>,
 }
 
+/// State shared by the server's connections.
 struct Shared {
     list: Mutex<WorkerList>,
     /// Address of each worker.
@@ -88,8 +90,8 @@
         &self.shared.counts
     }
 
-    /// The whole list in the format of the configuration's `known`.
-    pub fn known_list(&self) -> String {
+    /// The full list in the format of the configuration's `known`.
+    pub fn configured_list(&self) -> String {
         let Ok(list) = self.shared.list.lock() else { return String::new() };
         format!(
             r#"{{"rev":{},"notices":[{}]}}"#,
@@ -122,6 +124,7 @@
 }
 
 impl Shared {
+    /// An event in JSON; `reset` says that it replaces all entries that the client has.
     fn event_json(&self, number: u64, reset: bool, entries: &[Entry]) -> String {
         let mut instances = String::new();
         for entry in entries {
@@ -142,8 +145,8 @@
         format!(r#"{{"rev":{number},"pool":{{"generation":1,"reset":{reset},"instances":[{instances}]}}}}"#)
     }
 
-    /// The events after number `last` for a client, or the whole list if the history does not reach back that far, and
-    /// the number of the newest event.
+    /// The events after number `last` for a client, or the full list if the history does not reach back that
+    /// far; and the number of the newest event.
     fn events_after(&self, last: u64) -> (Vec<u8>, u64) {
         let Ok(list) = self.list.lock() else { return (Vec::new(), last) };
         let mut out = String::new();
@@ -160,7 +163,7 @@
                 }
             }
             None => {
-                self.counts.whole_lists.fetch_add(1, Ordering::Relaxed);
+                self.counts.full_lists.fetch_add(1, Ordering::Relaxed);
                 let number = list.last_event();
                 let _ = write!(
                     out,
@@ -199,7 +202,7 @@
         shared.counts.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         stream.write_all(&bytes).await?;
         last = next;
+        // If this times out, a comment is sent next.
         let _ = tokio::time::timeout(COMMENT_INTERVAL, changes.changed()).await;
-        // on a timeout a comment is sent
     }
 }
--- a/scale/src/node/mod.rs
+++ b/scale/src/node/mod.rs
@@ -1,8 +1,9 @@
-//! Runs of real front-end processes, started as the deploy file says, on loopback sockets. Each has the whole worker
-//! list and a front end's share of the calls, against simulated workers, clients and a simulated discovery server.
+//! Runs of real front-end processes, started as the deploy file says, on loopback sockets. Each has the full
+//! worker list and a front end's share of the calls, against simulated workers, clients and a simulated
+//! discovery server.
 //!
-//! Front ends that do not run are simulated as load and copies at the workers (see [`crate::world::BackgroundLoad`])
-//! and as changes of the worker list.
+//! Front ends that do not run are simulated as load and copies at the workers (see
+//! [`crate::world::BackgroundLoad`]) and as changes of the worker list.
 pub(crate) mod clients;
 mod deploy;
 mod discovery;
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -25,7 +25,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often the front ends are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Separates the clients' random numbers from those of the functions.
+/// Separates the clients' random numbers from others of the same seed: "client" in ASCII.
 const CLIENT_SEED: u64 = 0x636c_6965_6e74;
 
 /// Why a run of real front ends could not be finished.
@@ -64,7 +64,7 @@
 /// Runs an experiment against real front ends. All their processes have ended when this returns.
 ///
 /// # Errors
-/// Fails if something cannot be started, a front end ends by itself, or the run is interrupted.
+/// Fails if something cannot be started, a front end ends before the run does, or the run is interrupted.
 pub async fn run(
     experiment: &Experiment, settings: Settings, settings_json: &Object, deploy: &Deploy,
 ) -> Result<NodeReport, NodeError> {
@@ -97,7 +97,7 @@
 struct RunningFrontEnd {
     process: FrontEndProcess,
     address: std::net::SocketAddr,
-    /// Seconds from the start of the run until it was ready.
+    /// Seconds from the start of the run until it was ready; `None` while it is not.
     ready_s: Option<f64>,
     /// Its usage at the start of the counted time.
     start_usage: Usage,
@@ -120,6 +120,8 @@
     }
 }
 
+/// Starts everything, runs the experiment, and returns the report. The front ends that were started are added
+/// to `front_ends`, for the caller to end.
 async fn run_experiment(
     experiment: &Experiment, settings: Settings, settings_json: &Object, deploy: &Deploy,
     front_ends: &mut Vec<RunningFrontEnd>,
@@ -129,25 +131,27 @@
     let ranks = catalogue.functions.iter().enumerate().map(|(rank, f)| (f.id, rank)).collect();
     let world = World::new(experiment, &settings, catalogue.clone());
     let count = experiment.fleet.workers as usize;
-    let workers = Workers::start(world, count, ranks).await.map_err(system("listening for the workers"))?;
+    let workers =
+        Workers::start(world, count, ranks).await.map_err(system("binding the listeners of the workers"))?;
     let list = WorkerList::new(experiment, settings.kind_memory_mb.len());
     let discovery = DiscoveryServer::start(list, workers.addresses.clone(), settings.kinds.clone());
-    let discovery = discovery.await.map_err(system("listening for the discovery server"))?;
+    let discovery = discovery.await.map_err(system("binding the listener of the discovery server"))?;
     let directory = ConfigDirectory::new().map_err(system("creating the directory for configurations"))?;
-    let known_list = if experiment.node.list_in_configuration {
-        discovery.known_list()
+    let configured_list = if experiment.node.list_in_configuration {
+        discovery.configured_list()
     } else {
         r#"{"rev":0,"notices":[]}"#.to_owned()
     };
     for n in 0..experiment.fleet.front_ends as usize {
         let config = directory.0.join(format!("n{n}.json"));
-        let text = front_end_config(experiment, settings_json, n, discovery.address, &known_list);
+        let text = front_end_config(experiment, settings_json, n, discovery.address, &configured_list);
         std::fs::write(&config, text).map_err(system("writing a configuration"))?;
         let mut process = FrontEndProcess::start(deploy, &format!("n{n}"), &config)
             .map_err(system("starting a front end"))?;
         let listening = tokio::time::timeout(READY_TIMEOUT, process.listen_address()).await;
         let Ok(Some(address)) = listening else {
-            tokio::time::sleep(POLL_INTERVAL).await; // for its exit status and last log lines, which may come after the log ends
+            // The exit status and the last log lines may only be available a moment later.
+            tokio::time::sleep(POLL_INTERVAL).await;
             let status = process.exit_status().unwrap_or_else(|| "it does not listen".to_owned());
             return Err(NodeError::Ended { front_end: n, status, log_tail: process.log_tail() });
         };
@@ -216,6 +220,7 @@
     discovery_requests: u64,
 }
 
+/// A run whose front ends have started.
 struct Run<'a> {
     experiment: &'a Experiment,
     discovery: DiscoveryServer,
@@ -247,11 +252,12 @@
     ) -> Result<NodeReport, NodeError> {
         let experiment = self.experiment;
         let mut schedule = Schedule::new(experiment);
-        let (from, end) = (start + seconds(experiment.warm_up_s), start + seconds(experiment.duration_s));
+        let (counted_start, end) =
+            (start + seconds(experiment.warm_up_s), start + seconds(experiment.duration_s));
         let (mut before, mut counted_from) = (Counters::default(), None);
         while self.clock.now() < end {
             let now = self.clock.now();
-            if now >= from && counted_from.is_none() {
+            if now >= counted_start && counted_from.is_none() {
                 before = self.counters();
                 front_ends.iter_mut().for_each(|f| f.start_usage = Usage::of(f.process.pid));
                 counted_from = Some(Instant::now());
@@ -289,7 +295,7 @@
                 probe_bytes_s: rate(after.probe_bytes, before.probe_bytes),
                 call_bytes_s: rate(after.call_bytes, before.call_bytes),
                 discovery_requests_s: rate(after.discovery_requests, before.discovery_requests),
-                whole_lists: self.discovery.counts().whole_lists.load(Ordering::Relaxed),
+                full_lists: self.discovery.counts().full_lists.load(Ordering::Relaxed),
             },
             propagation: self.propagation_times(front_ends).quantiles(),
             reconnect: self.reconnect_times().quantiles(),
@@ -305,6 +311,7 @@
         Catalogue::new(self.experiment).rare_share(total_calls_s)
     }
 
+    /// Applies a change, or logs that it is not supported.
     fn apply(&mut self, scheduled: ScheduledChange) {
         match scheduled.change {
             Change::WorkersReplaced(workers) => {
--- a/scale/src/node/usage.rs
+++ b/scale/src/node/usage.rs
@@ -40,8 +40,8 @@
             let line = status.lines().find_map(|l| l.strip_prefix(key)).unwrap_or_default();
             line.split_whitespace().next().and_then(|k| k.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
         };
-        // The second field, the name in parentheses, may contain spaces, so fields are counted from the one after it. User
-        // and system time are fields 14 and 15 of the line.
+        // The second field, the name in parentheses, may contain spaces, so fields are counted from the one
+        // after it. User and system time are fields 14 and 15 of the line.
         let stat = text("stat");
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let ticks = |n: usize| {
--- a/scale/src/node/wire.rs
+++ b/scale/src/node/wire.rs
@@ -1,5 +1,5 @@
-//! The two protocols of a front end, implemented from their specifications: FastCGI 1.0 for its clients, and binary
-//! frames for its workers.
+//! The two protocols of a front end, implemented from their specifications: FastCGI 1.0 for its clients, and
+//! binary frames for its workers.
 use std::io;
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt};
--- a/scale/src/node/workers.rs
+++ b/scale/src/node/workers.rs
@@ -1,4 +1,5 @@
-//! Simulated workers on sockets: each has a listener, and all share one simulated environment that runs in real time.
+//! Simulated workers on sockets: each has a listener, and all share one simulated environment that runs in
+//! real time.
 use super::wire::{encode_reply, read_frame, Frame};
 use crate::time::RealClock;
 use crate::world::{Command, Reply, WorkerCall, World};
@@ -13,15 +14,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
+// Codes of frames from front ends.
 const CALL: u8 = 2;
 const CANCEL: u8 = 3;
 const PROBES: [u8; 2] = [4, 5];
-const ACCEPTS_CALLS: u8 = 206;
-const REJECTS_CALLS: u8 = 207;
 const LOAD: u8 = 6;
 const UNLOAD: u8 = 8;
-/// IDs of copy queries that keep an idle connection alive: front ends number these down from the middle of the range of
-/// IDs. Commands are numbered down from its end, and the IDs of calls are random.
+
+// Codes of replies.
+const OK: u8 = 200;
+const MISS: u8 = 202;
+const REJECTED: u8 = 203;
+const FAILED: u8 = 204;
+const EXPIRED: u8 = 205;
+const ACCEPTING: u8 = 206;
+const NOT_ACCEPTING: u8 = 207;
+
+/// IDs of copy queries that keep an idle connection alive: front ends number these down from the middle of
+/// the range of IDs. Commands are numbered down from its end, and the IDs of calls are random.
 const KEEP_ALIVE_IDS: std::ops::Range<u64> = (u64::MAX / 2 - (1 << 40))..(u64::MAX / 2 + 1);
 
 /// Bytes of the frames of one kind, in both directions.
@@ -50,8 +60,8 @@
     pub copy_queries: ByteCounter,
     /// Copy queries that keep idle connections alive, and the replies to them.
     pub keep_alives: ByteCounter,
-    /// Probes, by which a front end that has lost the discovery server checks whether workers accept calls, and the
-    /// replies to them.
+    /// Probes, by which a front end that has lost the discovery server checks whether workers accept calls,
+    /// and the replies to them.
     pub probes: ByteCounter,
     /// Connections accepted so far.
     pub accepted_connections: AtomicU64,
@@ -93,7 +103,8 @@
         let ranks = Arc::new(ranks);
         let mut addresses = Vec::with_capacity(count);
         for worker in 0..count {
-            // Each worker has its own address: one address has too few ports for all listeners and connections.
+            // Each worker has its own address: one address has too few ports for all listeners and
+            // connections.
             let [.., a, b] = (worker as u32 + 1).to_be_bytes();
             let listener = TcpListener::bind((Ipv4Addr::new(127, 1, a, b), 0)).await?;
             addresses.push(listener.local_addr()?);
@@ -126,6 +137,7 @@
 }
 
 impl Acceptor {
+    /// Serves each connection on a task of its own.
     async fn run(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let number = self.traffic.accepted_connections.fetch_add(1, Ordering::Relaxed) as usize;
@@ -134,8 +146,9 @@
         }
     }
 
+    /// Passes on the commands and replies of a connection until it ends.
     async fn serve(self, stream: TcpStream, number: usize) {
-        let _ = stream.set_nodelay(true); // without it replies are only delayed
+        let _ = stream.set_nodelay(true); // on failure replies are only delayed
         let (mut read, mut write) = stream.into_split();
         let (replies, mut queue) = unbounded_channel::<Vec<u8>>();
         let _ = self.world.send(WorldMessage::Opened(number, replies));
@@ -155,7 +168,8 @@
         self.traffic.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Decodes the command of a frame, and counts the frame. Returns `None` for a frame that the simulation ignores.
+    /// Decodes the command of a frame, and counts the frame. Returns `None` for a frame that the simulation
+    /// ignores.
     fn command(&self, connection: usize, frame: &Frame) -> Option<Command> {
         let hex = |name: &str| frame.field(name).and_then(|v| u64::from_str_radix(v, 16).ok());
         let rank = |id: u64| self.ranks.get(&id).copied();
@@ -209,7 +223,9 @@
                 Some(WorldMessage::Closed(number)) => {
                     connections.remove(&number);
                 }
-                Some(WorldMessage::Command { worker, command }) => world.command(clock.now(), worker, command),
+                Some(WorldMessage::Command { worker, command }) => {
+                    world.command(clock.now(), worker, command);
+                }
                 Some(WorldMessage::Replace(workers)) => for worker in workers {
                     world.stop(clock.now(), worker);
                     world.start(worker);
@@ -219,7 +235,7 @@
             () = tokio::time::sleep(wait.min(MAX_SLEEP)) => {}
         }
         for (at, _, reply) in world.advance(clock.now()) {
-            let (connection, bytes) = encode(at, &reply, &traffic);
+            let (connection, bytes) = encode_world_reply(at, &reply, &traffic);
             if let Some(replies) = connections.get(&connection) {
                 let _ = replies.send(bytes); // the connection may just have ended
             }
@@ -227,19 +243,20 @@
     }
 }
 
+/// The code of the reply for an outcome.
 fn reply_code(outcome: Outcome) -> u8 {
     match outcome {
-        Outcome::Ok => 200,
-        Outcome::Miss => 202,
-        Outcome::Full => 203,
-        Outcome::Moot => 205,
-        _ => 204,
+        Outcome::Ok => OK,
+        Outcome::Miss => MISS,
+        Outcome::Full => REJECTED,
+        Outcome::Moot => EXPIRED,
+        _ => FAILED,
     }
 }
 
-/// Encodes a reply as a frame, and returns it with the number of its connection. The body of a served call holds whether
-/// the call was warm (1 or 0), when it started, and when it ended.
-fn encode(at: u64, reply: &Reply, traffic: &Traffic) -> (usize, Vec<u8>) {
+/// Encodes a reply as a frame, and returns it with the number of its connection. The body of a served call
+/// holds whether the call was warm (1 or 0), when it started, and when it ended.
+fn encode_world_reply(at: u64, reply: &Reply, traffic: &Traffic) -> (usize, Vec<u8>) {
     match *reply {
         Reply::CallEnded { call, outcome, warm, inflight, waited } => {
             let detail = if warm { "resident" } else { "booted" };
@@ -251,7 +268,7 @@
             (call.front_end, bytes)
         }
         Reply::ProbeEnded { front_end, id, outcome, inflight } => {
-            let code = if outcome == Outcome::Ok { ACCEPTS_CALLS } else { REJECTS_CALLS };
+            let code = if outcome == Outcome::Ok { ACCEPTING } else { NOT_ACCEPTING };
             let bytes = encode_reply(code, id, &format!("use=busy_reqs:{inflight:.2};x1:0"), &[]);
             traffic.probes.add(bytes.len());
             (front_end, bytes)
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,7 +1,7 @@
 //! The results of a run, as JSON and as a Markdown table.
 //!
-//! Except for `machine`, all values in the report of a fleet are on the virtual clock: every run of the same experiment
-//! and seed gives the same bytes.
+//! Except for `machine`, all values in the report of a fleet are on the virtual clock: every run of the same
+//! experiment and seed gives the same bytes.
 use crate::experiment::Experiment;
 use crate::fleet::calls::{CallCounts, Quantiles};
 use serde::Serialize;
@@ -59,7 +59,8 @@
 }
 
 impl ExperimentSize {
-    /// The size of an experiment; `rare_function_share` is what [`crate::catalogue::Catalogue::rare_share`] returns.
+    /// The size of an experiment; `rare_function_share` is what [`crate::catalogue::Catalogue::rare_share`]
+    /// returns.
     pub fn of(experiment: &Experiment, rare_function_share: f64) -> Self {
         ExperimentSize {
             name: experiment.name.clone(),
@@ -83,7 +84,8 @@
     pub counts: CallCounts,
     /// Latency of served calls, from when the client first sent them to their response.
     pub latency: Quantiles,
-    /// Time from the arrival of a call at the front end to its start at a worker, of calls that waited for a load.
+    /// Time from the arrival of a call at the front end to its start at a worker, of calls that waited for a
+    /// load.
     pub cold_start: Quantiles,
     /// Share of the cold starts that took at most 1.5 s.
     pub cold_within_1500_ms: f64,
@@ -153,8 +155,9 @@
     pub failed_requests: u64,
     /// Reconnects that got only the missed events.
     pub resumed: u64,
-    /// Reconnects that got the whole list.
-    pub whole_lists: u64,
+    /// Reconnects that got the full list.
+    #[serde(rename = "whole_lists")]
+    pub full_lists: u64,
     /// Most requests, as a rate per second over a tenth of a second.
     #[serde(rename = "peak_calls_s")]
     pub peak_requests_s: u64,
@@ -192,8 +195,8 @@
     /// The smallest share of the calls of one second that was served in time, until the next failure.
     #[serde(rename = "least_in_time")]
     pub min_in_time_share: f64,
-    /// Seconds from its beginning until as large a share of calls was served in time as before it; `None` if that was
-    /// not reached.
+    /// Seconds from its beginning until as large a share of calls was served in time as before it; `None` if
+    /// that was not reached.
     pub recovered_after_s: Option<u64>,
 }
 
@@ -304,7 +307,7 @@
         );
         table.row(
             "reconnects: resumed, whole lists",
-            format!("{}, {}", self.discovery.resumed, self.discovery.whole_lists),
+            format!("{}, {}", self.discovery.resumed, self.discovery.full_lists),
         );
         table.row(
             "state of a module: workers, functions, copies, order entries, bytes",
@@ -376,8 +379,9 @@
     /// Requests to the discovery server per second.
     #[serde(rename = "board_calls_s")]
     pub discovery_requests_s: f64,
-    /// Whole lists that the discovery server sent, in all.
-    pub whole_lists: u64,
+    /// Full lists that the discovery server sent, in all.
+    #[serde(rename = "whole_lists")]
+    pub full_lists: u64,
 }
 
 /// A real front end.
@@ -448,7 +452,7 @@
         table.number("probes, B/s", c.probe_bytes_s, 1);
         table.number("calls, B/s", c.call_bytes_s, 1);
         table.number("calls of the board/s", c.discovery_requests_s, 2);
-        table.row("whole lists told", c.whole_lists);
+        table.row("whole lists told", c.full_lists);
         table.row("list change known everywhere p50, p99, p99.9, max, ms", q(&self.propagation));
         table.row("calls of the board after a cut p50, p99, p99.9, max, ms", q(&self.reconnect));
         table.text()
--- a/scale/src/world/background.rs
+++ b/scale/src/world/background.rs
@@ -7,10 +7,10 @@
 
 /// The calls of all front ends outside the experiment, and the copies that these calls keep loaded.
 ///
-/// All front ends rank the workers for a function in the same preference order, so the first workers at which the
-/// experiment asks for a function are those where the other front ends use it: as many workers as their calls in
-/// flight need. A copy is loaded there in a given keep-alive period with the probability that at least one of their
-/// calls arrived in it.
+/// All front ends rank the workers for a function in the same preference order, so the first workers at which
+/// the experiment asks for a function are those where the other front ends use it: as many workers as their
+/// calls in flight need. A copy is loaded there in a given keep-alive period with the probability that at
+/// least one of their calls arrived in it.
 #[derive(Debug)]
 pub struct BackgroundLoad {
     /// Calls per second over all front ends outside the experiment; 0 if there are none.
@@ -21,7 +21,8 @@
 }
 
 impl BackgroundLoad {
-    /// Background load of this many calls per second in all, on workers that keep an idle copy for `keep_alive`.
+    /// Background load of this many calls per second in all, on workers that keep an idle copy for
+    /// `keep_alive`.
     pub fn new(calls_per_s: f64, keep_alive: Micros) -> Self {
         BackgroundLoad { calls_per_s, keep_alive: keep_alive.max(1), workers_by_function: BTreeMap::new() }
     }
@@ -60,7 +61,8 @@
     }
 }
 
-/// A number from 0 to 1, determined by the function and the keep-alive period alone.
+/// A number from 0 to 1, determined by the function and the keep-alive period alone: a hash with the
+/// constants of SplitMix64.
 fn uniform_hash(function: u64, period: u64) -> f64 {
     let mixed = (function ^ period.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/scale/src/world/failures.rs
+++ b/scale/src/world/failures.rs
@@ -6,6 +6,9 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
+/// Separates the schedule's random numbers from others of the same seed: "failures" in ASCII.
+const SCHEDULE_SEED: u64 = 0x6661_696c_7572_6573;
+
 /// A change of the environment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
@@ -46,7 +49,7 @@
 impl Schedule {
     /// Draws the changes of an experiment from its seed.
     pub fn new(experiment: &Experiment) -> Self {
-        let mut random = Pcg64::seed_from_u64(experiment.seed ^ 0x6661_696c_7572_6573);
+        let mut random = Pcg64::seed_from_u64(experiment.seed ^ SCHEDULE_SEED);
         let mut pending = Vec::new();
         for (n, failure) in experiment.failures.iter().enumerate() {
             let (begin, end) = changes(experiment, failure, &mut random);
--- a/scale/src/world/list.rs
+++ b/scale/src/world/list.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Bytes of an entry in the discovery server's JSON, without the worker's name: keys, punctuation, address, zone
-/// and machine type.
+/// Bytes of an entry in the discovery server's JSON, without the worker's name: keys, punctuation, address,
+/// zone and machine type.
 const ENTRY_BYTES: usize = 140;
 /// Bytes of an event in the discovery server's JSON, without its entries.
 const EVENT_BYTES: usize = 80;
@@ -80,7 +80,7 @@
         self.entries.iter().filter(|e| e.state != WorkerState::Gone).cloned().collect()
     }
 
-    /// Size of the whole list in bytes, as the discovery server sends it.
+    /// Size of the full list in bytes, as the discovery server sends it.
     pub fn snapshot_bytes(&self) -> usize {
         event_bytes(&self.entries)
     }
--- a/scale/src/world/store.rs
+++ b/scale/src/world/store.rs
@@ -25,7 +25,8 @@
         Store { fetch_interval, max_queued, busy_until: 0.0, fetches: 0, rejected_fetches: 0 }
     }
 
-    /// Queues a fetch that takes `duration` once begun. Returns when it completes, or `None` if the queue is full.
+    /// Queues a fetch that takes `duration` once begun. Returns when it completes, or `None` if the queue is
+    /// full.
     pub fn fetch(&mut self, now: Micros, duration: Micros) -> Option<Micros> {
         let delay = (self.busy_until - now as f64).max(0.0);
         if delay / self.fetch_interval > self.max_queued {
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -202,7 +202,7 @@
     /// Whether a call loads a function that is absent from the worker.
     load_on_miss: bool,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Number of the event scheduled last.
+    /// Sequence number of the event scheduled last.
     sequence: u64,
     /// Replies that have not left yet: time, worker, reply.
     replies: Vec<(Micros, usize, Reply)>,
@@ -251,8 +251,8 @@
         self.events.peek().map(|next| next.0.at)
     }
 
-    /// Processes all events that are due by `now`. Returns the replies in order, each with the time at which it
-    /// leaves and the worker it leaves from.
+    /// Processes all events that are due by `now`. Returns the replies in order, each with the time at which
+    /// it leaves and the worker it leaves from.
     pub fn advance(&mut self, now: Micros) -> Vec<(Micros, usize, Reply)> {
         while self.events.peek().is_some_and(|next| next.0.at <= now) {
             let Some(Reverse(ScheduledEvent { at, worker, process, event, .. })) = self.events.pop() else {
@@ -275,9 +275,9 @@
     /// Ends a worker's process: its copies and calls are lost, and its connections are reset.
     pub fn stop(&mut self, now: Micros, worker: usize) {
         self.background.forget_worker(worker);
-        let w = &mut self.workers[worker];
-        let replacement = Worker { up: false, process: w.process + 1, ..Worker::new(w.memory_mb) };
-        let old = std::mem::replace(w, replacement);
+        let state = &mut self.workers[worker];
+        let replacement = Worker { up: false, process: state.process + 1, ..Worker::new(state.memory_mb) };
+        let old = std::mem::replace(state, replacement);
         for copies in old.copies.into_values() {
             for (call, warm) in copies.queued {
                 let reply =
@@ -363,8 +363,8 @@
         self.replies.push((now, worker, Reply::LoadEnded { front_end, id, outcome, copies }));
     }
 
-    /// The copies of a function at a worker. Where none is loaded or loading, a copy that background calls keep
-    /// loaded is added first.
+    /// The copies of a function at a worker. Where none is loaded or loading, a copy that background calls
+    /// keep loaded is added first.
     fn copies_at(&mut self, now: Micros, worker: usize, rank: usize) -> &mut Copies {
         let existing = self.workers[worker].copies.get(&rank);
         let absent = existing.is_none_or(|c| c.loaded == 0 && c.loading == 0);
@@ -410,15 +410,15 @@
     }
 
     fn start_call(&mut self, now: Micros, worker: usize, call: WorkerCall, warm: bool) {
-        let w = &mut self.workers[worker];
-        w.running += 1;
-        let slowdown = (f64::from(w.running) + self.background_inflight) / f64::from(self.cores);
+        let state = &mut self.workers[worker];
+        state.running += 1;
+        let slowdown = (f64::from(state.running) + self.background_inflight) / f64::from(self.cores);
         let work = self.catalogue.functions[call.rank].work as f64 * slowdown.max(1.0);
-        if let Some(copies) = w.copies.get_mut(&call.rank) {
+        if let Some(copies) = state.copies.get_mut(&call.rank) {
             copies.busy_lanes += 1;
         }
         self.counts.calls += 1;
-        let process = w.process;
+        let process = state.process;
         self.schedule(
             now + work as Micros,
             worker,
@@ -428,10 +428,10 @@
     }
 
     fn finish_call(&mut self, now: Micros, worker: usize, call: WorkerCall, warm: bool, waited: Micros) {
-        let w = &mut self.workers[worker];
-        (w.running, w.inflight) = (w.running - 1, w.inflight - 1);
-        let inflight = f64::from(w.inflight) + self.background_inflight;
-        if let Some(copies) = w.copies.get_mut(&call.rank) {
+        let state = &mut self.workers[worker];
+        (state.running, state.inflight) = (state.running - 1, state.inflight - 1);
+        let inflight = f64::from(state.inflight) + self.background_inflight;
+        if let Some(copies) = state.copies.get_mut(&call.rank) {
             copies.busy_lanes -= 1;
         }
         let reply = Reply::CallEnded { call, outcome: Outcome::Ok, warm, inflight, waited };
@@ -443,21 +443,22 @@
     fn start_queued_calls(&mut self, now: Micros, worker: usize, rank: usize) {
         let lanes = self.catalogue.lanes;
         loop {
-            let w = &mut self.workers[worker];
-            let Some(copies) = w.copies.get_mut(&rank) else { return };
+            let state = &mut self.workers[worker];
+            let Some(copies) = state.copies.get_mut(&rank) else { return };
             if copies.busy_lanes >= copies.loaded * lanes {
                 return;
             }
             let Some((call, warm)) = copies.queued.pop_front() else {
                 copies.idle_since = now;
-                let process = w.process;
+                let process = state.process;
                 return self.schedule(now + self.keep_alive, worker, process, WorkerEvent::IdleTimeout(rank));
             };
             self.start_call(now, worker, call, warm);
         }
     }
 
-    /// Starts or queues a load. Returns false if the queue of loads is full or there is no memory for the copy.
+    /// Starts or queues a load. Returns false if the queue of loads is full or there is no memory for the
+    /// copy.
     fn request_load(&mut self, now: Micros, worker: usize, rank: usize) -> bool {
         let memory = self.catalogue.functions[rank].memory_mb;
         let full =
@@ -465,13 +466,13 @@
         if full || !self.make_room(now, worker, rank, memory) {
             return false;
         }
-        let w = &mut self.workers[worker];
-        w.used_mb += memory;
-        w.copies.entry(rank).or_default().loading += 1;
-        if w.loads < self.loads_at_once {
+        let state = &mut self.workers[worker];
+        state.used_mb += memory;
+        state.copies.entry(rank).or_default().loading += 1;
+        if state.loads < self.loads_at_once {
             self.start_load(now, worker, rank);
         } else {
-            w.queued_loads.push_back(rank);
+            state.queued_loads.push_back(rank);
         }
         true
     }
@@ -489,14 +490,14 @@
 
     fn finish_load(&mut self, now: Micros, worker: usize, rank: usize, ok: bool) {
         let memory = self.catalogue.functions[rank].memory_mb;
-        let w = &mut self.workers[worker];
-        w.loads -= 1;
-        if let Some(copies) = w.copies.get_mut(&rank) {
+        let state = &mut self.workers[worker];
+        state.loads -= 1;
+        if let Some(copies) = state.copies.get_mut(&rank) {
             copies.loading -= 1;
             copies.loaded += u32::from(ok);
         }
         if !ok {
-            w.used_mb -= memory;
+            state.used_mb -= memory;
             self.counts.failed_loads += 1;
             self.reject_queued_calls(now, worker, rank);
         }
@@ -510,13 +511,13 @@
 
     /// Ends queued calls in a miss after a failed load, unless another copy is loaded or loading.
     fn reject_queued_calls(&mut self, now: Micros, worker: usize, rank: usize) {
-        let w = &mut self.workers[worker];
-        let Some(copies) = w.copies.get_mut(&rank) else { return };
+        let state = &mut self.workers[worker];
+        let Some(copies) = state.copies.get_mut(&rank) else { return };
         if copies.loaded + copies.loading > 0 {
             return;
         }
         let queued = std::mem::take(&mut copies.queued);
-        w.inflight -= queued.len() as u32;
+        state.inflight -= queued.len() as u32;
         queued.into_iter().for_each(|(call, _)| self.reply_to_call(now, worker, call, Outcome::Miss));
     }
 
@@ -560,12 +561,12 @@
     }
 
     fn cancel_call(&mut self, worker: usize, call: WorkerCall) {
-        let w = &mut self.workers[worker];
-        let Some(copies) = w.copies.get_mut(&call.rank) else { return };
+        let state = &mut self.workers[worker];
+        let Some(copies) = state.copies.get_mut(&call.rank) else { return };
         let key = |c: &WorkerCall| (c.front_end, c.request, c.attempt);
         let before = copies.queued.len();
         copies.queued.retain(|(c, _)| key(c) != key(&call));
-        w.inflight -= (before - copies.queued.len()) as u32;
+        state.inflight -= (before - copies.queued.len()) as u32;
     }
 
     fn unload(&mut self, now: Micros, worker: usize, rank: usize) {
@@ -577,14 +578,14 @@
     fn unload_idle(&mut self, _now: Micros, worker: usize, rank: usize) -> f64 {
         let lanes = self.catalogue.lanes;
         let memory = self.catalogue.functions[rank].memory_mb;
-        let w = &mut self.workers[worker];
-        let Some(copies) = w.copies.get_mut(&rank) else { return 0.0 };
+        let state = &mut self.workers[worker];
+        let Some(copies) = state.copies.get_mut(&rank) else { return 0.0 };
         let idle = copies.loaded.saturating_sub(copies.busy(lanes));
         copies.loaded -= idle;
         let freed = f64::from(idle) * memory;
-        w.used_mb -= freed;
+        state.used_mb -= freed;
         if copies.loaded == 0 && !copies.in_use() {
-            w.copies.remove(&rank);
+            state.copies.remove(&rank);
         }
         freed
     }
@@ -598,15 +599,15 @@
         }
     }
 
-    /// Makes room for a copy by unloading idle copies of other functions, the ones idle longest first. Returns false
-    /// if that does not free enough memory.
+    /// Makes room for a copy by unloading idle copies of other functions, the ones idle longest first.
+    /// Returns false if that does not free enough memory.
     fn make_room(&mut self, now: Micros, worker: usize, rank: usize, memory: f64) -> bool {
         loop {
-            let w = &self.workers[worker];
-            if w.used_mb + memory <= w.memory_mb {
+            let state = &self.workers[worker];
+            if state.used_mb + memory <= state.memory_mb {
                 return true;
             }
-            let idle = w.copies.iter().filter(|(&r, c)| r != rank && c.loaded > 0 && c.busy_lanes == 0);
+            let idle = state.copies.iter().filter(|(&r, c)| r != rank && c.loaded > 0 && c.busy_lanes == 0);
             let Some((&oldest, _)) = idle.min_by_key(|(_, c)| c.idle_since) else { return false };
             if self.unload_idle(now, worker, oldest) <= 0.0 {
                 return false;
--- a/scale/tests/slopes.rs
+++ b/scale/tests/slopes.rs
@@ -73,11 +73,11 @@
 #[test]
 fn a_reconnect_is_told_what_was_missed_and_no_more() {
     let (few, many) = (cut_off(50, 1_000).discovery, cut_off(800, 1_000).discovery);
-    assert_eq!((few.resumed, few.whole_lists), (24, 0));
-    assert_eq!((many.resumed, many.whole_lists), (24, 0));
+    assert_eq!((few.resumed, few.full_lists), (24, 0));
+    assert_eq!((many.resumed, many.full_lists), (24, 0));
     assert_eq!(few.peak_bytes_s, many.peak_bytes_s, "bytes follow the list's length");
     let whole = cut_off(800, 1).discovery;
-    assert_eq!((whole.resumed, whole.whole_lists), (0, 24), "the board has forgotten what was missed");
+    assert_eq!((whole.resumed, whole.full_lists), (0, 24), "the board has forgotten what was missed");
     assert!(whole.peak_bytes_s > 20 * many.peak_bytes_s);
 }
 
