--- a/scale/src/node/deploy.rs
+++ b/scale/src/node/deploy.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Reads the settings file of an experiment and adds the number of front ends and the zones, both parsed and
-/// as JSON.
+/// Reads the settings file of an experiment, and sets the experiment's number of front ends and zones in it.
+/// Returns the parsed settings and their JSON object.
 ///
 /// # Errors
 /// Fails if the settings file cannot be read or does not contain a JSON object.
