--- a/scale/src/bounds.rs
+++ b/scale/src/bounds.rs
@@ -46,7 +46,7 @@
 /// functions that it keeps.
 pub fn controller_bytes(experiment: &Experiment, settings: &Settings) -> f64 {
     let catalogue = Catalogue::new(experiment);
-    let retention_s = FUNCTION_RETENTION * settings.keep as f64 / 1e6;
+    let retention_s = FUNCTION_RETENTION * settings.keep_alive as f64 / 1e6;
     let calls = experiment.calls.per_front_end_s * retention_s;
     let kept: f64 = (0..catalogue.functions.len()).map(|r| 1.0 - (-calls * catalogue.share(r)).exp()).sum();
     let workers = f64::from(experiment.fleet.workers);
--- a/scale/src/fleet/calls.rs
+++ b/scale/src/fleet/calls.rs
@@ -135,7 +135,7 @@
 impl CallStatistics {
     /// Statistics of a run that starts at `start`, of the calls that are sent at `counted_from` or later.
     pub fn new(settings: &Settings, start: Micros, counted_from: Micros) -> Self {
-        let latency_targets = settings.classes.iter().map(|c| c.aim).collect();
+        let latency_targets = settings.classes.iter().map(|c| c.latency_target).collect();
         CallStatistics { counted_from, latency_targets, start, ..CallStatistics::default() }
     }
 
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -139,7 +139,7 @@
             front_ends: (0..count).map(front_end).collect(),
             subscriptions: vec![Subscription::default(); count],
             world: World::new(experiment, &settings, catalogue),
-            list: WorkerList::new(experiment, settings.kind_memory_mb.len()),
+            list: WorkerList::new(experiment, settings.machine_memory_mb.len()),
             schedule: Schedule::new(experiment),
             calls: CallStatistics::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
@@ -380,7 +380,7 @@
     /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout
     /// of connections.
     fn count_connections(&mut self) {
-        let idle = self.settings.connection_idle;
+        let idle = self.settings.connection_idle_timeout;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
         let mut connections = vec![0u32; self.experiment.fleet.workers as usize];
         for front_end in &self.front_ends {
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -4,7 +4,7 @@
 use crate::time::{milliseconds, SECOND};
 use crate::world::{worker_number, Command, ListEvent, Reply, WorkerCall};
 use heronslip_policy::{
-    Action, Controller, DiscoveryState, Entry, Event, Footprint, Micros, Outcome, Settings,
+    Action, Controller, DiscoveryState, Event, Footprint, Micros, Outcome, Settings, WorkerEntry,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -33,7 +33,7 @@
     /// The state of the connection to the discovery server changes.
     Discovery(DiscoveryState),
     /// The discovery server sends the full worker list, as of the event of this number.
-    ListSnapshot(u64, Arc<Vec<Entry>>),
+    ListSnapshot(u64, Arc<Vec<WorkerEntry>>),
     /// A client retries a call, or sends it here because its own front end is down.
     Retry(ClientCall),
     /// The front end's own clients make their next call.
@@ -190,7 +190,7 @@
     /// The position of a front end among those that the settings name; the ones that run are spread evenly
     /// over them.
     fn index_of(&self, number: usize) -> u32 {
-        (number as u64 * u64::from(self.settings.gateways) / u64::from(self.front_ends.max(1))) as u32
+        (number as u64 * u64::from(self.settings.front_ends) / u64::from(self.front_ends.max(1))) as u32
     }
 }
 
@@ -223,7 +223,7 @@
     }
 
     /// Starts a new process, with the full worker list as of the event of this number.
-    pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<Entry>>) {
+    pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<WorkerEntry>>) {
         self.controller = Some(Controller::new((*self.settings).clone(), self.random.random()));
         self.schedule(now, FrontEndEvent::ListSnapshot(number, list));
     }
@@ -331,11 +331,11 @@
             }
             FrontEndEvent::Discovery(state) => self.run_controller(Event::Discovery { state }),
             FrontEndEvent::ListChange(event) => {
-                self.run_controller(Event::Members { full: false, entries: event.entries.clone() });
+                self.run_controller(Event::WorkerList { full: false, entries: event.entries.clone() });
                 self.output.applied_events.push((event.number, self.now));
             }
             FrontEndEvent::ListSnapshot(number, entries) => {
-                self.run_controller(Event::Members { full: true, entries: (*entries).clone() });
+                self.run_controller(Event::WorkerList { full: true, entries: (*entries).clone() });
                 self.output.applied_events.push((number, self.now));
             }
             FrontEndEvent::Timer(token) => self.run_controller(Event::Timer { token }),
@@ -359,8 +359,8 @@
         let id = self.last_id;
         let function = &self.catalogue.functions[call.rank];
         let (class, memory_mb, lanes) = (function.class, function.memory_mb, self.catalogue.lanes);
-        let configured = self.settings.classes.get(class).map_or(0, |c| c.give_up);
-        let left = if configured > 0 { configured } else { DEFAULT_CLIENT_TIMEOUT };
+        let configured = self.settings.classes.get(class).map_or(0, |c| c.client_timeout);
+        let timeout = if configured > 0 { configured } else { DEFAULT_CLIENT_TIMEOUT };
         let (load_time, function, retry) = (function.load_time, function.id, call.retries > 0);
         let request = OpenRequest {
             call,
@@ -371,13 +371,13 @@
             attempts: Vec::new(),
         };
         self.open_requests.insert(id, request);
-        self.schedule(self.now + left, FrontEndEvent::ClientTimeout(id));
+        self.schedule(self.now + timeout, FrontEndEvent::ClientTimeout(id));
         self.run_controller(Event::Request {
             id,
             class,
             tenant: None,
             function,
-            left,
+            timeout,
             memory_mb,
             lanes,
             load_time,
@@ -400,7 +400,7 @@
         }
         let (id, attempt, closed) = (call.request, call.attempt, request.closed);
         let warm = (outcome == Outcome::Ok).then_some(warm);
-        let inflight = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Miss).then_some(inflight);
+        let inflight = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Miss).then_some(inflight);
         self.run_controller(Event::Outcome {
             id,
             attempt,
@@ -408,7 +408,7 @@
             elapsed,
             closed,
             warm,
-            crowd: None,
+            function_inflight: None,
             inflight,
         });
         self.remove_if_done(id);
@@ -422,8 +422,17 @@
         let (rank, closed) = (request.call.rank, request.closed);
         self.cancel(id, attempt, rank, worker);
         let outcome = Outcome::Timeout;
-        let (warm, crowd, inflight) = (None, None, None);
-        self.run_controller(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+        let (warm, function_inflight, inflight) = (None, None, None);
+        self.run_controller(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            function_inflight,
+            inflight,
+        });
         self.remove_if_done(id);
     }
 
@@ -473,8 +482,17 @@
                 self.cancel(id, attempt, rank, worker);
                 self.remove_if_done(id);
                 let outcome = Outcome::Cancelled;
-                let (warm, crowd, inflight) = (None, None, None);
-                return Some(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+                let (warm, function_inflight, inflight) = (None, None, None);
+                return Some(Event::Outcome {
+                    id,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    closed,
+                    warm,
+                    function_inflight,
+                    inflight,
+                });
             }
             Action::Refuse { id, retry_after } => self.refuse(id, retry_after),
             Action::Fail { id } => {
@@ -486,7 +504,7 @@
                 }
             }
             Action::Load { worker, function, count } => self.send_load(&worker, function, count),
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 self.command_counts.unloads += 1;
                 let (worker, rank) = (worker_number(&worker)?, *self.ranks.get(&function)?);
                 self.last_contact.insert(worker, self.now);
@@ -494,7 +512,7 @@
             }
             Action::Probe { worker } => self.send_probe(worker),
             Action::Timer { delay, token } => self.schedule(self.now + delay, FrontEndEvent::Timer(token)),
-            Action::Watch | Action::Log { .. } => {}
+            Action::Subscribe | Action::Log { .. } => {}
         }
         None
     }
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::Catalogue;
 use crate::fleet::calls::{CallOutcome, CallRecord};
 use crate::time::{RealClock, SECOND};
-use heronslip_policy::{Effect, Micros, Settings};
+use heronslip_policy::{Micros, RetrySafety, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -170,7 +170,7 @@
         let id: u64 = self.random.random();
         let function = &self.catalogue.functions[rank];
         let class = self.settings.classes.get(function.class)?;
-        let timeout = if class.give_up > 0 { class.give_up } else { DEFAULT_TIMEOUT };
+        let timeout = if class.client_timeout > 0 { class.client_timeout } else { DEFAULT_TIMEOUT };
         let mut params = vec![
             ("SCRIPT_NAME", format!("/v1/{}", class.name)),
             ("HTTP_REQ_ID", format!("{id:016x}")),
@@ -186,7 +186,7 @@
                 ),
             ),
         ];
-        if class.effect == Effect::Keyed {
+        if class.retry_safety == RetrySafety::Deduplicated {
             params.push(("HTTP_REQ_TOKEN", format!("{id:032x}")));
         }
         let class = function.class;
--- a/scale/src/node/discovery.rs
+++ b/scale/src/node/discovery.rs
@@ -2,7 +2,7 @@
 //! number on.
 use super::deploy::zone_name;
 use crate::world::{worker_number, WorkerList};
-use heronslip_policy::{Entry, WorkerState};
+use heronslip_policy::{WorkerEntry, WorkerState};
 use std::fmt::Write;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -125,12 +125,12 @@
 
 impl Shared {
     /// An event in JSON; `reset` says that it replaces all entries that the client has.
-    fn event_json(&self, number: u64, reset: bool, entries: &[Entry]) -> String {
+    fn event_json(&self, number: u64, reset: bool, entries: &[WorkerEntry]) -> String {
         let mut instances = String::new();
         for entry in entries {
             let address = worker_number(&entry.worker).and_then(|n| self.addresses.get(n));
             let Some(address) = address else { continue };
-            let machine_type = self.machine_types.get(entry.kind).map_or("", String::as_str);
+            let machine_type = self.machine_types.get(entry.machine_type).map_or("", String::as_str);
             let comma = if instances.is_empty() { "" } else { "," };
             let _ = write!(
                 instances,
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -133,8 +133,8 @@
     let count = experiment.fleet.workers as usize;
     let workers =
         Workers::start(world, count, ranks).await.map_err(system("binding the listeners of the workers"))?;
-    let list = WorkerList::new(experiment, settings.kind_memory_mb.len());
-    let discovery = DiscoveryServer::start(list, workers.addresses.clone(), settings.kinds.clone());
+    let list = WorkerList::new(experiment, settings.machine_memory_mb.len());
+    let discovery = DiscoveryServer::start(list, workers.addresses.clone(), settings.machine_types.clone());
     let discovery = discovery.await.map_err(system("binding the listener of the discovery server"))?;
     let directory = ConfigDirectory::new().map_err(system("creating the directory for configurations"))?;
     let configured_list = if experiment.node.list_in_configuration {
--- a/scale/src/node/workers.rs
+++ b/scale/src/node/workers.rs
@@ -248,8 +248,8 @@
     match outcome {
         Outcome::Ok => OK,
         Outcome::Miss => MISS,
-        Outcome::Full => REJECTED,
-        Outcome::Moot => EXPIRED,
+        Outcome::Rejected => REJECTED,
+        Outcome::NotSent => EXPIRED,
         _ => FAILED,
     }
 }
--- a/scale/src/world/list.rs
+++ b/scale/src/world/list.rs
@@ -1,6 +1,6 @@
 //! The worker list as the discovery server keeps it: entries and numbered events.
 use crate::experiment::Experiment;
-use heronslip_policy::{Entry, Micros, WorkerState};
+use heronslip_policy::{Micros, WorkerEntry, WorkerState};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     /// When it happened.
     pub at: Micros,
     /// The entries it changes.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<WorkerEntry>,
 }
 
 impl ListEvent {
@@ -28,7 +28,7 @@
     }
 }
 
-fn event_bytes(entries: &[Entry]) -> usize {
+fn event_bytes(entries: &[WorkerEntry]) -> usize {
     EVENT_BYTES + entries.iter().map(|e| ENTRY_BYTES + e.worker.len()).sum::<usize>()
 }
 
@@ -45,7 +45,7 @@
 /// The current worker list and its most recent events.
 #[derive(Debug)]
 pub struct WorkerList {
-    entries: Vec<Entry>,
+    entries: Vec<WorkerEntry>,
     /// How often each worker's machine was replaced.
     generations: Vec<u32>,
     history: VecDeque<Arc<ListEvent>>,
@@ -57,12 +57,12 @@
     /// A list of all workers, all ready, as event 1.
     pub fn new(experiment: &Experiment, machine_types: usize) -> Self {
         let zones = experiment.fleet.zones as usize;
-        let entry = |n: usize| Entry {
+        let entry = |n: usize| WorkerEntry {
             worker: worker_name(n, 0),
             state: WorkerState::Ready,
             started_at: 0,
             zone: n % zones,
-            kind: n % machine_types.max(1),
+            machine_type: n % machine_types.max(1),
             cell: (n % zones) as u64,
         };
         let workers = experiment.fleet.workers as usize;
@@ -76,7 +76,7 @@
     }
 
     /// All entries except those of workers that are gone.
-    pub fn snapshot(&self) -> Vec<Entry> {
+    pub fn snapshot(&self) -> Vec<WorkerEntry> {
         self.entries.iter().filter(|e| e.state != WorkerState::Gone).cloned().collect()
     }
 
@@ -122,18 +122,18 @@
     pub fn replace(&mut self, now: Micros, workers: &[usize]) -> Arc<ListEvent> {
         let mut changed = Vec::with_capacity(2 * workers.len());
         for &w in workers {
-            changed.push(Entry { state: WorkerState::Gone, ..self.entries[w].clone() });
+            changed.push(WorkerEntry { state: WorkerState::Gone, ..self.entries[w].clone() });
             self.generations[w] += 1;
             let worker = worker_name(w, self.generations[w]);
             let replacement =
-                Entry { worker, started_at: now, state: WorkerState::Ready, ..self.entries[w].clone() };
+                WorkerEntry { worker, started_at: now, state: WorkerState::Ready, ..self.entries[w].clone() };
             self.entries[w] = replacement.clone();
             changed.push(replacement);
         }
         self.push_event(now, changed)
     }
 
-    fn push_event(&mut self, at: Micros, entries: Vec<Entry>) -> Arc<ListEvent> {
+    fn push_event(&mut self, at: Micros, entries: Vec<WorkerEntry>) -> Arc<ListEvent> {
         self.last_event += 1;
         let event = Arc::new(ListEvent { number: self.last_event, at, entries });
         self.history.push_back(event.clone());
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -212,13 +212,13 @@
 impl World {
     /// Ready workers without any copies. The settings' machine types are assigned to them in turn.
     pub fn new(experiment: &Experiment, settings: &Settings, catalogue: Arc<Catalogue>) -> Self {
-        let memory_by_type = &settings.kind_memory_mb;
+        let memory_by_type = &settings.machine_memory_mb;
         let memory =
             |n: usize| memory_by_type.get(n % memory_by_type.len().max(1)).copied().unwrap_or(f64::INFINITY);
         let workers = (0..experiment.fleet.workers as usize).map(|n| Worker::new(memory(n))).collect();
         let config = &experiment.workers;
         let absent = f64::from(experiment.fleet.configured() - experiment.fleet.front_ends);
-        let background = BackgroundLoad::new(absent * experiment.calls.per_front_end_s, settings.keep);
+        let background = BackgroundLoad::new(absent * experiment.calls.per_front_end_s, settings.keep_alive);
         let background_inflight =
             background.inflight_per_worker(&catalogue, experiment.fleet.workers as usize);
         World {
@@ -231,8 +231,8 @@
             loads_at_once: config.loads_at_once,
             max_inflight: config.max_inflight,
             fetch_share: experiment.store.fetch_share,
-            keep_alive: settings.keep,
-            load_on_miss: settings.load_on_absence,
+            keep_alive: settings.keep_alive,
+            load_on_miss: settings.load_on_miss,
             events: BinaryHeap::new(),
             sequence: 0,
             replies: Vec::new(),
@@ -383,7 +383,7 @@
 
     fn accept_call(&mut self, now: Micros, worker: usize, call: WorkerCall) {
         if self.workers[worker].inflight >= self.max_inflight {
-            return self.reply_to_call(now, worker, call, Outcome::Full);
+            return self.reply_to_call(now, worker, call, Outcome::Rejected);
         }
         let (lanes, rank, load_on_miss) = (self.catalogue.lanes, call.rank, self.load_on_miss);
         let copies = self.copies_at(now, worker, rank);
@@ -404,7 +404,7 @@
             // No memory for a load, and no copy to wait for.
             if let Some((call, _)) = self.copies_at(now, worker, rank).queued.pop_back() {
                 self.workers[worker].inflight -= 1;
-                self.reply_to_call(now, worker, call, Outcome::Full);
+                self.reply_to_call(now, worker, call, Outcome::Rejected);
             }
         }
     }
@@ -553,7 +553,7 @@
         let loading = self.copies_at(now, worker, rank).loading;
         for _ in (loaded + loading)..wanted {
             if !self.request_load(now, worker, rank) {
-                return self.reply_to_load(now, worker, sender, Outcome::Full, loaded);
+                return self.reply_to_load(now, worker, sender, Outcome::Rejected, loaded);
             }
         }
         let (front_end, id) = sender;
