--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use heronslip_scale::experiment::Experiment;
-use heronslip_scale::soak::{PlayReport, SoakConfig, SoakError, SoakOptions};
+use heronslip_scale::soak::{RunReport, SoakConfig, SoakError, SoakOptions};
 use heronslip_scale::{bounds, fleet, node};
 use serde::Serialize;
 use std::error::Error;
@@ -171,8 +171,8 @@
 fn run_soak(soak: &SoakArgs) -> ExitCode {
     match soak_violations(soak) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(broken) => {
-            eprintln!("heronslip-scale: {broken} broken rules");
+        Ok(violations) => {
+            eprintln!("heronslip-scale: {violations} broken rules");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -201,28 +201,36 @@
     Ok(runtime.block_on(heronslip_scale::soak::soak(&options, print_run))?)
 }
 
-fn print_run(report: &PlayReport) {
-    let plan = &report.plan;
-    let count = |name: &str| report.answers.get(name).copied().unwrap_or(0);
-    let rules: std::collections::BTreeSet<String> =
+/// Prints a row of the table for a run, and its violation traces on standard error.
+fn print_run(report: &RunReport) {
+    let scenario = &report.scenario;
+    let count = |name: &str| report.responses.get(name).copied().unwrap_or(0);
+    let broken_rules: std::collections::BTreeSet<String> =
         report.violations.iter().map(|violation| violation.rule.to_string()).collect();
-    let rules =
-        if rules.is_empty() { "none".to_owned() } else { rules.into_iter().collect::<Vec<_>>().join(", ") };
+    let rules = if broken_rules.is_empty() {
+        "none".to_owned()
+    } else {
+        broken_rules.into_iter().collect::<Vec<_>>().join(", ")
+    };
     println!(
         "| {} | {:.0} | {}, {} | {} | {} | {:.1}% | {}, {} | {} | {rules} |",
-        plan.seed,
-        plan.length as f64 / 1e6,
-        plan.front_ends,
-        plan.workers,
-        plan.fault_names(),
+        scenario.seed,
+        scenario.duration as f64 / 1e6,
+        scenario.front_ends,
+        scenario.workers,
+        scenario.fault_summary(),
         report.requests,
-        report.served(),
+        report.served_percent(),
         count("refused"),
         count("failed"),
         report.probes,
     );
     if !report.never_injected.is_empty() {
-        println!("seed {}: wanted and never injected: {}", plan.seed, report.never_injected.join(", "));
+        println!(
+            "seed {}: planned system call failures never injected: {}",
+            scenario.seed,
+            report.never_injected.join(", ")
+        );
     }
-    report.stories.iter().for_each(|story| eprintln!("seed {}: {story}", plan.seed));
+    report.violation_traces.iter().for_each(|trace| eprintln!("seed {}: {trace}", scenario.seed));
 }
