--- a/scale/src/soak/worker.rs
+++ b/scale/src/soak/worker.rs
@@ -2,7 +2,7 @@
 //! sends faulty replies.
 use super::network;
 use super::record::{Command, Event, Recorder, Reply};
-use crate::node::wire::{answer, read_frame, Frame};
+use crate::node::wire::{encode_reply, read_frame, Frame};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashSet;
@@ -211,7 +211,7 @@
             code if PROBES.contains(&code) => Command::Probe,
             _ => return None,
         };
-        let first_byte_at = self.settings.recorder.time_of(frame.began);
+        let first_byte_at = self.settings.recorder.time_of(frame.received);
         self.settings.recorder.record(Event::CommandReceived {
             worker: self.number,
             process: connection.process,
@@ -235,7 +235,7 @@
                     open.as_mut().map(|open| open.insert(request));
                 }
                 let function = hex("path").unwrap_or(0);
-                let deadline = frame.began + Duration::from_millis(budget_ms);
+                let deadline = frame.received + Duration::from_millis(budget_ms);
                 tokio::spawn(async move {
                     worker.call(&connection, request, function, deadline, rejects).await;
                 });
@@ -251,13 +251,13 @@
                     let code = if copies > 0 && rejects { REJECTED } else { OK };
                     let loaded = worker.load(function, copies > 0 && code == OK).await;
                     let fields = format!("slots_up={}", u32::from(loaded));
-                    worker.send(&connection, &answer(code, id, &fields, &[])).await;
+                    worker.send(&connection, &encode_reply(code, id, &fields, &[])).await;
                 });
             }
             Command::Probe => {
                 let code = if rejects { NOT_ACCEPTING } else { ACCEPTING };
                 tokio::spawn(async move {
-                    worker.send(&connection, &answer(code, id, "use=busy_reqs:1;x1:0", &[])).await;
+                    worker.send(&connection, &encode_reply(code, id, "use=busy_reqs:1;x1:0", &[])).await;
                 });
             }
         }
@@ -288,14 +288,14 @@
     ) {
         let max_open_calls = self.settings.lanes as usize * QUEUED_CALLS_PER_LANE;
         if rejects || self.open_calls.load(Ordering::Acquire) >= max_open_calls {
-            let bytes = answer(REJECTED, request, "", &[]);
+            let bytes = encode_reply(REJECTED, request, "", &[]);
             return self.reply(connection, request, Reply::Rejected, &bytes).await;
         }
         self.open_calls.fetch_add(1, Ordering::AcqRel);
         let lane = self.lanes.acquire().await;
         if Instant::now() > deadline {
             self.open_calls.fetch_sub(1, Ordering::AcqRel);
-            let bytes = answer(EXPIRED, request, "", &[]);
+            let bytes = encode_reply(EXPIRED, request, "", &[]);
             return self.reply(connection, request, Reply::Rejected, &bytes).await;
         }
         let warm = self.load(function, false).await;
@@ -314,7 +314,7 @@
         let detail = if warm { "resident" } else { "booted" };
         let open_calls = self.open_calls.load(Ordering::Acquire);
         let fields = format!("detail={detail},use=busy_reqs:{open_calls};x1:0");
-        let mut bytes = answer(OK, request, &fields, body(request).as_bytes());
+        let mut bytes = encode_reply(OK, request, &fields, body(request).as_bytes());
         match (faulty, fault) {
             (false, _) => self.reply(connection, request, Reply::Ok, &bytes).await,
             // Late.
--- a/scale/tests/slopes.rs
+++ b/scale/tests/slopes.rs
@@ -9,7 +9,7 @@
 /// Simulates one front end of 520.
 fn one_front_end_of_many(workers: u32, functions: u32) -> FleetReport {
     run_experiment(|e| {
-        (e.fleet.front_ends, e.fleet.told_front_ends, e.fleet.workers) = (1, Some(520), workers);
+        (e.fleet.front_ends, e.fleet.configured_front_ends, e.fleet.workers) = (1, Some(520), workers);
         (e.functions.count, e.workers.cores) = (functions, 10_000);
         e.store.fetches_per_s = 10_000.0;
     })
@@ -47,8 +47,8 @@
 fn commands_for_each_call_do_not_grow_with_the_worker_list() {
     let (few, many) =
         (one_front_end_of_many(500, 1_000).control, one_front_end_of_many(4_000, 1_000).control);
-    assert!(many.questions_s <= 1.5 * few.questions_s + 1.0, "{few:?} {many:?}");
-    assert!(many.holds_s <= 1.5 * few.holds_s + 1.0, "{few:?} {many:?}");
+    assert!(many.copy_queries_s <= 1.5 * few.copy_queries_s + 1.0, "{few:?} {many:?}");
+    assert!(many.loads_s <= 1.5 * few.loads_s + 1.0, "{few:?} {many:?}");
 }
 
 /// Simulates front ends that lose the discovery service for some seconds while the worker list changes; the
@@ -65,8 +65,8 @@
     };
     let change = |e: &mut Experiment| {
         (e.fleet.front_ends, e.fleet.workers, e.calls.per_front_end_s) = (24, workers, 1.0);
-        (e.board.history, e.board.changes_per_hour) = (history, 3_600.0);
-        e.failure = (0..3).map(outage).collect();
+        (e.discovery.history, e.discovery.changes_per_hour) = (history, 3_600.0);
+        e.failures = (0..3).map(outage).collect();
     };
     run_experiment(change)
 }
@@ -74,12 +74,12 @@
 #[test]
 fn a_reconnecting_front_end_receives_only_missed_changes() {
     let (few, many) =
-        (run_with_discovery_outage(50, 1_000).board, run_with_discovery_outage(800, 1_000).board);
-    assert_eq!((few.resumed, few.whole_lists), (24, 0));
-    assert_eq!((many.resumed, many.whole_lists), (24, 0));
+        (run_with_discovery_outage(50, 1_000).discovery, run_with_discovery_outage(800, 1_000).discovery);
+    assert_eq!((few.resumed, few.full_lists), (24, 0));
+    assert_eq!((many.resumed, many.full_lists), (24, 0));
     assert_eq!(few.peak_bytes_s, many.peak_bytes_s, "the bytes depend on the length of the list");
-    let full = run_with_discovery_outage(800, 1).board;
-    assert_eq!((full.resumed, full.whole_lists), (0, 24), "the missed changes are no longer in the history");
+    let full = run_with_discovery_outage(800, 1).discovery;
+    assert_eq!((full.resumed, full.full_lists), (0, 24), "the missed changes are no longer in the history");
     assert!(full.peak_bytes_s > 20 * many.peak_bytes_s);
 }
 
@@ -87,7 +87,7 @@
 fn a_change_costs_the_same_bytes_in_any_worker_list() {
     let bytes = |workers| {
         let report = run_experiment(|e| {
-            (e.fleet.workers, e.board.changes_per_hour) = (workers, 3_600.0);
+            (e.fleet.workers, e.discovery.changes_per_hour) = (workers, 3_600.0);
             (e.fleet.front_ends, e.calls.per_front_end_s) = (2, 1.0);
         });
         report.control.list_bytes_s
