--- a/scale/src/soak/clients.rs
+++ b/scale/src/soak/clients.rs
@@ -2,7 +2,7 @@
 //! ones, which send nothing or no valid request.
 use super::record::{Event, Recorder, Response};
 use super::worker::body;
-use crate::node::wire::{abort, read_record, request, Record};
+use crate::node::wire::{encode_abort, encode_request, read_record, Record};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -161,7 +161,7 @@
         if class.deduplicated {
             params.push(("HTTP_REQ_TOKEN", format!("{number:032x}")));
         }
-        let bytes = request(id, &params, format!("body of {number}").as_bytes());
+        let bytes = encode_request(id, &params, format!("body of {number}").as_bytes());
         let timeout = timeout_ms * 1_000;
         if connection.send.send(Outgoing::Request { number, id, class: class_index, timeout, bytes }).is_err()
         {
@@ -249,7 +249,7 @@
                 }
                 Outgoing::Abort { number, id } => {
                     let was_open = self.open.lock().is_ok_and(|mut open| open.requests.remove(&id).is_some());
-                    if was_open && write.write_all(&abort(id)).await.is_ok() {
+                    if was_open && write.write_all(&encode_abort(id)).await.is_ok() {
                         self.recorder.record(Event::RequestCancelled { request: number });
                     }
                 }
@@ -320,12 +320,12 @@
     let Ok(mut stream) = TcpStream::connect(address).await else { return };
     let client = settings.take_number();
     settings.recorder.record(Event::BadClientConnected { front_end, client });
-    let whole = request(1, &[("SCRIPT_NAME", "/v1/lookup".to_owned())], b"half");
+    let whole = encode_request(1, &[("SCRIPT_NAME", "/v1/lookup".to_owned())], b"half");
     let _ = match kind % 4 {
         0 => Ok(()),
         1 => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
         2 => stream.write_all(&whole[..whole.len() - 8]).await,
-        _ => stream.write_all(&request(1, &[("SCRIPT_NAME", "/v1/none".to_owned())], &[])).await,
+        _ => stream.write_all(&encode_request(1, &[("SCRIPT_NAME", "/v1/none".to_owned())], &[])).await,
     }; // the front end may have closed the connection
     let answered = tokio::time::timeout(BAD_CLIENT_TIMEOUT, stream.read(&mut [0; 256])).await;
     if answered.is_ok() {
