--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -323,7 +323,7 @@
     fn cut(&mut self, now: Micros, n: usize) {
         self.subscriptions[n].cut_at = Some(now);
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
-        let lost = now + limits.board_silence.as_micros() as Micros;
+        let lost = now + limits.discovery_silence_timeout.as_micros() as Micros;
         self.front_ends[n].schedule(lost, FrontEndEvent::Discovery(DiscoveryState::Lost));
     }
 
@@ -364,15 +364,19 @@
     fn reconnect_time(&mut self, n: usize, cut_at: Micros, restored_at: Micros) -> Micros {
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
-        let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, self.random.random());
-        let request_timeout = micros(limits.connect.min(limits.board_silence / 2));
+        let mut backoff = Backoff::new(
+            limits.discovery_initial_backoff,
+            limits.discovery_max_backoff,
+            self.random.random(),
+        );
+        let request_timeout = micros(limits.connect_timeout.min(limits.discovery_silence_timeout / 2));
         // The cut begins at a random time between two of the discovery server's comments.
-        let mut at = cut_at + micros(limits.board_silence) - self.random.random_range(0..SECOND);
+        let mut at = cut_at + micros(limits.discovery_silence_timeout) - self.random.random_range(0..SECOND);
         while at < restored_at {
             self.failed_requests += 1;
             // A request that is open when the cut ends times out too: its first packet is lost, and it ends
             // before the packet is sent again.
-            at += request_timeout + micros(backoff.wait());
+            at += request_timeout + micros(backoff.next_delay());
         }
         at + 2 * self.latency(n, 0)
     }
