--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -3,7 +3,7 @@
 
 use common::stand_ins::{counting_worker, obliging_worker};
 use common::{call, connect, fastcgi_answer, Plan, Stage, PATIENCE};
-use heronslip_shim_control::{Call, ControlFile, Rates, CALLS, CONTROL_VARIABLE};
+use heronslip_shim_control::{ControlFile, FailureRates, SystemCall, CONTROL_VARIABLE, SYSTEM_CALLS};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::Command;
@@ -22,14 +22,14 @@
 }
 
 /// Failure rates in thousandths: these for the given system calls, 0 for all others.
-fn rates(given: &[(Call, u32)]) -> Rates {
-    let mut rates = [0; CALLS.len()];
+fn rates(given: &[(SystemCall, u32)]) -> FailureRates {
+    let mut rates = [0; SYSTEM_CALLS.len()];
     given.iter().for_each(|(call, rate)| rates[*call as usize] = *rate);
     rates
 }
 
 /// The environment that loads the shim with these failure rates, and the file that controls it.
-fn shim_environment(rates: Rates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
+fn shim_environment(rates: FailureRates) -> (Vec<(&'static str, PathBuf)>, ControlFile) {
     static FILES: AtomicU64 = AtomicU64::new(0);
     let name = format!("control-{}-{}", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -43,7 +43,7 @@
 #[test]
 fn an_interrupted_read_loses_no_reply() {
     let (worker, calls) = counting_worker();
-    let (environment, _) = shim_environment(rates(&[(Call::Read, 800)]));
+    let (environment, _) = shim_environment(rates(&[(SystemCall::Read, 800)]));
     let stage = Stage::with(Plan { workers: vec![worker], environment, ..Plan::default() });
     let body = "x".repeat(4_000);
     for id in 1..=30 {
@@ -62,7 +62,7 @@
     let (environment, control) = shim_environment(rates(&[]));
     let workers = vec![obliging_worker()];
     let mut stage = Stage::with(Plan { workers, environment, ..Plan::default() });
-    control.set_rates(&rates(&[(Call::Accept, 1_000)])).expect("written");
+    control.set_rates(&rates(&[(SystemCall::Accept, 1_000)])).expect("written");
     let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(stage.front))).collect();
     for (id, client) in &mut clients {
         client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
@@ -82,10 +82,10 @@
 /// Creating a socket fails when the program starts: it must retry, and listen once that succeeds.
 #[test]
 fn a_start_retries_to_create_a_socket() {
-    let (environment, control) = shim_environment(rates(&[(Call::Socket, 1_000)]));
+    let (environment, control) = shim_environment(rates(&[(SystemCall::Socket, 1_000)]));
     let deadline = Instant::now() + PATIENCE;
     let stop_failures = std::thread::spawn(move || {
-        let failures = || control.injected().expect("read")[Call::Socket as usize];
+        let failures = || control.injected().expect("read")[SystemCall::Socket as usize];
         while failures() < 3 && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -100,7 +100,7 @@
 /// Many system calls of all kinds fail transiently: every request must get a response.
 #[test]
 fn requests_are_answered_while_system_calls_fail() {
-    use Call::{Accept, Connect, Read, Socket, Wait, Write};
+    use SystemCall::{Accept, Connect, Read, Socket, Wait, Write};
     let failing = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
     let (environment, _) = shim_environment(rates(&failing));
     let workers = vec![obliging_worker(), obliging_worker(), obliging_worker()];
