--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -1,5 +1,5 @@
 //! The start configuration: environment variables, the NODE_CONFIG file, and the KServe v2 server's file.
-use crate::discovery::json_array::{ArrayScanner, Place, ScanError};
+use crate::discovery::json_array::{ArrayScanner, BytePosition, ScanError};
 use crate::discovery::{EventBounds, EventError, EventReader, ListEvent};
 use crate::limits::Limits;
 use heronslip_policy::json::{as_str, number, object, parse, string, unsigned};
@@ -65,7 +65,7 @@
 
 /// Reads a configuration in chunks and returns all but the events under `known`. Their bytes go to
 /// `event_byte`, each with its place, so that a list of many workers is never in memory as text or JSON.
-fn read_configuration(path: &str, mut event_byte: impl FnMut(Place, u8)) -> ConfigResult<Object> {
+fn read_configuration(path: &str, mut event_byte: impl FnMut(BytePosition, u8)) -> ConfigResult<Object> {
     let io_error = |e: std::io::Error| format!("{path}: {e}");
     let scan_error = |e: ScanError| format!("{path}: {e}");
     let mut file = std::fs::File::open(path).map_err(io_error)?;
@@ -80,8 +80,8 @@
             break;
         }
         for &byte in &chunk[..read] {
-            match scanner.byte(byte).map_err(scan_error)? {
-                Place::Outside => {}
+            match scanner.push(byte).map_err(scan_error)? {
+                BytePosition::Outside => {}
                 place => event_byte(place, byte),
             }
         }
@@ -105,14 +105,14 @@
         InitialEvents { done: Vec::new(), reader: EventReader::new(INITIAL_EVENT_BOUNDS), event, error: None }
     }
 
-    fn byte(&mut self, place: Place, byte: u8) {
-        if place != Place::After && self.error.is_none() {
-            match self.reader.byte(byte) {
+    fn byte(&mut self, place: BytePosition, byte: u8) {
+        if place != BytePosition::After && self.error.is_none() {
+            match self.reader.push(byte) {
                 Ok(entry) => self.event.entries.extend(entry),
                 Err(error) => self.error = Some(error),
             }
         }
-        if place != Place::Inside {
+        if place != BytePosition::Inside {
             let InitialEvents { mut done, reader, event, error } =
                 std::mem::replace(self, InitialEvents::new());
             let full = error.map_or_else(|| reader.finish(), Err);
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -13,7 +13,7 @@
 use crate::messages::{
     AttemptKey, AttemptReport, Client, ListedWorker, Message, Request, Response, WorkerProtocol,
 };
-use crate::worker::{transport, Reports};
+use crate::worker::{new_transport, ReportSender};
 use heronslip_policy::{
     Action, Controller, Event, FunctionId, Micros, Outcome, RetrySafety, Settings, WorkerEntry, WorkerState,
 };
@@ -104,7 +104,7 @@
     limits: Arc<Limits>,
     clock: Clock,
     inbox: Receiver<Message>,
-    reports: Reports,
+    reports: ReportSender,
     shared: Arc<SharedState>,
     /// Last number given to a request, load command or probe.
     last_id: u64,
@@ -128,7 +128,7 @@
 impl Core {
     /// Creates a core that knows no workers yet.
     pub fn new(
-        settings: Settings, seed: u64, limits: Arc<Limits>, inbox: Receiver<Message>, reports: Reports,
+        settings: Settings, seed: u64, limits: Arc<Limits>, inbox: Receiver<Message>, reports: ReportSender,
         shared: Arc<SharedState>,
     ) -> Self {
         let tenant_counters = vec![TenantCounters::default(); settings.tenants.len() + 1];
@@ -394,14 +394,14 @@
                 // A connection that still waits for the reply to a lost command would never become idle.
                 let worker = self.load_commands.get(&command).map(|c| &c.worker);
                 if let Some(worker) = worker.and_then(|w| self.workers.get_mut(w)) {
-                    worker.transports().for_each(|t| t.lapse(command));
+                    worker.transports().for_each(|t| t.abandon(command));
                 }
                 self.load_ended(command, Outcome::Timeout, 0);
             }
             Timer::ProbeTimeout(probe) => {
                 let worker = self.probes.get(&probe);
                 if let Some(worker) = worker.and_then(|w| self.workers.get_mut(w)) {
-                    worker.transports().for_each(|t| t.lapse(probe));
+                    worker.transports().for_each(|t| t.abandon(probe));
                 }
                 self.probe_ended(probe, Outcome::Timeout, None);
             }
@@ -474,9 +474,11 @@
                 let has_connection = self.reserve_connection(&worker, true);
                 let until = self.lease_end(&worker);
                 match self.workers.get_for_send(&worker).filter(may_send) {
-                    Some(worker) if has_connection => worker.transport.order(command, function, count, until),
-                    Some(_) => self.reports.ordered(command, Outcome::NotSent, 0),
-                    None => self.reports.ordered(command, Outcome::ConnectFailed, 0),
+                    Some(worker) if has_connection => {
+                        worker.transport.send_load(command, function, count, until)
+                    }
+                    Some(_) => self.reports.load_ended(command, Outcome::NotSent, 0),
+                    None => self.reports.load_ended(command, Outcome::ConnectFailed, 0),
                 }
                 self.timers.schedule(now + self.limits.command_timeout, Timer::LoadTimeout(command));
             }
@@ -486,9 +488,9 @@
                 let probe = self.last_id;
                 let has_connection = self.reserve_connection(&worker, true);
                 match self.workers.get_for_send(&worker) {
-                    Some(worker) if has_connection => worker.transport.probe(probe),
-                    Some(_) => self.reports.probed(probe, Outcome::NotSent, None),
-                    None => self.reports.probed(probe, Outcome::ConnectFailed, None),
+                    Some(worker) if has_connection => worker.transport.send_probe(probe),
+                    Some(_) => self.reports.probe_ended(probe, Outcome::NotSent, None),
+                    None => self.reports.probe_ended(probe, Outcome::ConnectFailed, None),
                 }
                 self.probes.insert(probe, worker);
                 self.timers.schedule(now + self.limits.probe_timeout, Timer::ProbeTimeout(probe));
@@ -527,7 +529,7 @@
     /// used first. Commands and probes may use three quarters of the limit and leave the rest to calls: a new
     /// function may be queried at all workers at once.
     fn reserve_connection(&mut self, worker: &str, is_command: bool) -> bool {
-        if !self.workers.get(worker).is_some_and(|w| w.transport.connections().1) {
+        if !self.workers.get(worker).is_some_and(|w| w.transport.connections().needs_new) {
             return true;
         }
         let limit = self.limits.worker_connections;
@@ -561,7 +563,7 @@
         let until = self.lease_end(&worker);
         match self.workers.get_for_send(&worker).filter(is_ready) {
             Some(worker) if has_connection => {
-                worker.transport.send(key, &request, budget, until);
+                worker.transport.send_attempt(key, &request, budget, until);
                 self.timers.schedule(now.saturating_add(budget), Timer::AttemptTimeout(key));
             }
             _ => {
@@ -630,7 +632,7 @@
                 (worker.listing, worker.started_at) = (listing, started_at);
             }
             None => {
-                let transport = transport(listing.protocol, listing.address, &self.limits, &self.reports);
+                let transport = new_transport(listing.protocol, listing.address, &self.limits, &self.reports);
                 let id = listing.id.clone();
                 let new = Worker { listing, started_at, transport, former_transports: Vec::new() };
                 let old = self.workers.insert(new);
--- a/heronslip/src/core/worker_pool.rs
+++ b/heronslip/src/core/worker_pool.rs
@@ -26,7 +26,7 @@
 
     /// Cancels an attempt, whichever address it was sent to.
     pub fn cancel(&mut self, key: AttemptKey) {
-        self.transports().for_each(|t| t.cancel(key));
+        self.transports().for_each(|t| t.cancel_attempt(key));
     }
 
     /// Its listing with the state `Gone`.
@@ -49,7 +49,7 @@
     }
 
     fn connections(&self) -> usize {
-        self.former_transports.iter().chain([&self.transport]).map(|t| t.connections().0).sum()
+        self.former_transports.iter().chain([&self.transport]).map(|t| t.connections().open).sum()
     }
 }
 
@@ -120,7 +120,7 @@
         idle.truncate(max);
         for (_, id) in &idle {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.transport.close_idle();
+                worker.transport.close_longest_idle();
             }
         }
         self.connections = self.connections.saturating_sub(idle.len());
@@ -129,7 +129,7 @@
 
     /// Checks that connections with outstanding replies are still alive.
     pub fn check_liveness(&mut self) {
-        self.for_each_connected(|worker| worker.transports().for_each(|t| t.pulse()));
+        self.for_each_connected(|worker| worker.transports().for_each(|t| t.check_liveness()));
     }
 
     /// Counts the connections again, without those that have ended since they were opened.
--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -25,7 +25,7 @@
 use crate::core::{Core, SharedState};
 use crate::messages::{Message, WorkerProtocol};
 use config::Config;
-use discovery::{EventError, Follower, ListEvent};
+use discovery::{EventError, ListEvent, Subscriber};
 use limits::MemoryBudget;
 use may::net::TcpListener;
 use nix::errno::Errno;
@@ -54,7 +54,7 @@
         incoming_requests: Arc::default(),
         closing: Arc::new(AtomicBool::new(false)),
     };
-    let reports = worker::Reports(queue.clone());
+    let reports = worker::ReportSender(queue.clone());
     let core = Core::new(config.settings, config.seed, limits.clone(), inbox, reports, shared);
     // A panic leaves the controller half-changed, and a front end without its core must not continue.
     std::thread::Builder::new()
@@ -65,12 +65,12 @@
             }
         })
         .map_err(|e| format!("cannot start the core thread: {e}"))?;
-    let service_address = Arc::new(discovery::Board::new(config.discovery_address));
-    let follower = Follower::new(&limits, queue.clone());
-    let follower = apply_initial_events(config.initial_events, config.last_initial_event, follower);
-    let (followed, follower_limits, seed) = (service_address.clone(), limits.clone(), config.seed);
+    let service_address = Arc::new(discovery::ServiceAddress::new(config.discovery_address));
+    let subscriber = Subscriber::new(&limits, queue.clone());
+    let subscriber = apply_initial_events(config.initial_events, config.last_initial_event, subscriber);
+    let (followed, subscriber_limits, seed) = (service_address.clone(), limits.clone(), config.seed);
     net::spawn(limits.coroutine_stack, move || {
-        discovery::follow(&followed, follower, &follower_limits, seed)
+        discovery::follow(&followed, subscriber, &subscriber_limits, seed)
     })
     .map_err(|e| format!("cannot start discovery: {e}"))?;
     let fastcgi = listen(config.listen, &context, "fastcgi", server::fastcgi::serve)?;
@@ -78,7 +78,7 @@
     let mut listeners = vec![fastcgi];
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
-            let workers = discovery::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            let workers = discovery::parse_endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
             let _ = queue.send(Message::WorkerList { source: WorkerProtocol::Kserve, full: true, workers });
         }
         let listener = listen(kserve.listen, &context, "kserve", server::kserve::serve)?;
@@ -93,23 +93,23 @@
     shutdown::run_until_shutdown(signals, &listeners, &context, &service_address)
 }
 
-/// Applies the events from the configuration. If one could not be read, the follower starts at event 0, and
+/// Applies the events from the configuration. If one could not be read, the subscriber starts at event 0, and
 /// the discovery service sends the whole list again.
 fn apply_initial_events(
-    events: Vec<Result<ListEvent, EventError>>, last_event: u64, mut follower: Follower,
-) -> Follower {
+    events: Vec<Result<ListEvent, EventError>>, last_event: u64, mut subscriber: Subscriber,
+) -> Subscriber {
     let mut all_readable = true;
     for event in events {
         match event {
-            Ok(event) => all_readable &= follower.take_known(event),
+            Ok(event) => all_readable &= subscriber.apply_initial(event),
             Err(error) => {
                 all_readable = false;
                 log!("start: skipped an event of the configuration: {error}");
             }
         }
     }
-    follower.known_to(if all_readable { last_event } else { 0 });
-    follower
+    subscriber.finish_initial(if all_readable { last_event } else { 0 });
+    subscriber
 }
 
 fn log_listener(name: &str, acceptor: &Acceptor) {
--- a/heronslip/src/server/kserve.rs
+++ b/heronslip/src/server/kserve.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Client, IncomingGuard, Message, Payload, Request, Response};
 use crate::net::{is_timeout, ClientActivity, ConnectionPermit, Outbox, Socket};
 use crate::ring::RingBuffer;
-use crate::worker::kserve::wrap_answer;
+use crate::worker::kserve::wrap_response;
 use heronslip_policy::json::{as_object, boolean, number, object, parse, string};
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
@@ -29,7 +29,7 @@
             // From a worker of the platform's protocol: JSON objects are passed on unchanged, other bytes as
             // a tensor.
             let json = std::str::from_utf8(&body).ok().and_then(|t| parse(t).ok());
-            let body = if json.as_ref().and_then(as_object).is_some() { body } else { wrap_answer(&body) };
+            let body = if json.as_ref().and_then(as_object).is_some() { body } else { wrap_response(&body) };
             response("200 OK", "", &body, close)
         }
         Response::Refused { retry_after } => {
--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -2,7 +2,7 @@
 //! shutdown. After SIGTERM or SIGINT the process serves requests for a short while and then exits once
 //! nothing is open.
 use crate::config::Config;
-use crate::discovery::Board;
+use crate::discovery::ServiceAddress;
 use crate::server::{Acceptor, ServerContext};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -18,7 +18,8 @@
 
 /// Handles signals until SIGTERM or SIGINT, then shuts down gracefully. Returns when the process may exit.
 pub fn run_until_shutdown(
-    mut signals: Signals, listeners: &[Acceptor], context: &ServerContext, service_address: &Arc<Board>,
+    mut signals: Signals, listeners: &[Acceptor], context: &ServerContext,
+    service_address: &Arc<ServiceAddress>,
 ) -> Result<(), String> {
     let (stop, stopped) = channel();
     let service_address = service_address.clone();
@@ -72,11 +73,11 @@
 
 /// Reads the discovery service's address again, and returns whether that succeeded. If the file is missing or
 /// only partly written, the old address stays in use and the caller retries.
-fn reload(service_address: &Board) -> bool {
+fn reload(service_address: &ServiceAddress) -> bool {
     match Config::read_discovery_address() {
         Ok(address) => {
             log!("reload: the discovery service is at {address}");
-            service_address.moved(address);
+            service_address.set(address);
             true
         }
         Err(error) => {
--- a/heronslip/tests/clients.rs
+++ b/heronslip/tests/clients.rs
@@ -1,7 +1,10 @@
 //! Edge cases of client connections at the FastCGI server. The test takes the place of the core.
 mod common;
 
-use common::{call, connect, context, fastcgi, fastcgi_answer, fastcgi_front, PATIENCE};
+use common::{
+    connect, fastcgi_call, fastcgi_request, read_fastcgi_response, start_fastcgi_server, test_context,
+    TIMEOUT,
+};
 use heronslip::messages::{Client, Message, Payload, Response};
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
@@ -17,7 +20,7 @@
 /// The next request that reaches the core: its body, its client and its tag.
 fn next_request(queue: &Receiver<Message>) -> (Vec<u8>, Arc<dyn Client>, u64) {
     loop {
-        if let Message::Request { request, client, tag } = queue.recv_timeout(PATIENCE).expect("a request") {
+        if let Message::Request { request, client, tag } = queue.recv_timeout(TIMEOUT).expect("a request") {
             return (request.payload.bytes().to_vec(), client, tag);
         }
     }
@@ -28,15 +31,17 @@
 /// on it.
 #[test]
 fn rejected_partial_requests_leave_the_connection_open() {
-    let (context, queue) = context(|limits| limits.buffered_bytes = 2_000);
-    let mut client = connect(fastcgi_front(&context));
-    client.write_all(&call(9, "00000000000000a9", "9000", "open")).expect("written");
+    let (context, queue) = test_context(|limits| limits.buffered_bytes = 2_000);
+    let mut client = connect(start_fastcgi_server(&context));
+    client.write_all(&fastcgi_call(9, "00000000000000a9", "9000", "open")).expect("written");
     assert_eq!(next_request(&queue).0, b"open");
     for id in 10..24 {
-        client.write_all(&call(id, "00000000000000a1", "9000", &"x".repeat(15_000))).expect("written");
-        assert_eq!(fastcgi_answer(&mut client).expect("a response").2, OVERLOADED);
+        client
+            .write_all(&fastcgi_call(id, "00000000000000a1", "9000", &"x".repeat(15_000)))
+            .expect("written");
+        assert_eq!(read_fastcgi_response(&mut client).expect("a response").2, OVERLOADED);
     }
-    client.write_all(&call(1, "00000000000000a2", "9000", "last")).expect("written");
+    client.write_all(&fastcgi_call(1, "00000000000000a2", "9000", "last")).expect("written");
     assert_eq!(next_request(&queue).0, b"last");
 }
 
@@ -44,12 +49,12 @@
 /// again.
 #[test]
 fn the_id_of_a_rejected_partial_request_can_be_used_again() {
-    let (context, queue) = context(|limits| limits.buffered_bytes = 2_000);
-    let mut client = connect(fastcgi_front(&context));
-    let request = call(1, "00000000000000a1", "9000", &"x".repeat(15_000));
+    let (context, queue) = test_context(|limits| limits.buffered_bytes = 2_000);
+    let mut client = connect(start_fastcgi_server(&context));
+    let request = fastcgi_call(1, "00000000000000a1", "9000", &"x".repeat(15_000));
     client.write_all(&request[..request.len() - RECORD_HEADER]).expect("written");
-    assert_eq!(fastcgi_answer(&mut client).expect("a response").2, OVERLOADED);
-    client.write_all(&call(1, "00000000000000a2", "9000", "again")).expect("written");
+    assert_eq!(read_fastcgi_response(&mut client).expect("a response").2, OVERLOADED);
+    client.write_all(&fastcgi_call(1, "00000000000000a2", "9000", "again")).expect("written");
     assert_eq!(next_request(&queue).0, b"again");
 }
 
@@ -57,17 +62,17 @@
 /// request must keep its connection.
 #[test]
 fn a_client_keeps_its_connection_while_it_sends() {
-    let (context, queue) = context(|limits| limits.client_connections = 1);
-    let address = fastcgi_front(&context);
+    let (context, queue) = test_context(|limits| limits.client_connections = 1);
+    let address = start_fastcgi_server(&context);
     let mut client = connect(address);
-    client.write_all(&call(1, "00000000000000a1", "9000", "first")).expect("written");
+    client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "first")).expect("written");
     let (_, receiver, tag) = next_request(&queue);
     receiver.respond(tag, Response::Refused { retry_after: 0 });
-    assert!(fastcgi_answer(&mut client).expect("a response").0.starts_with("Status: 503"));
-    let next = call(2, "00000000000000a2", "9000", "next");
+    assert!(read_fastcgi_response(&mut client).expect("a response").0.starts_with("Status: 503"));
+    let next = fastcgi_call(2, "00000000000000a2", "9000", "next");
     let (begin, rest) = next.split_at(20);
     client.write_all(begin).expect("written");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while context.incoming_requests.load(Ordering::Acquire) == 0 {
         assert!(Instant::now() < deadline, "the first part is not read");
         std::thread::yield_now();
@@ -82,22 +87,22 @@
 /// they are still being written, since the descriptor is in use as long.
 #[test]
 fn a_permit_is_held_until_its_connection_is_closed() {
-    let (context, queue) = context(|limits| limits.client_connections = 1);
-    let mut client = connect(fastcgi_front(&context));
-    let requests = fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"").repeat(500);
+    let (context, queue) = test_context(|limits| limits.client_connections = 1);
+    let mut client = connect(start_fastcgi_server(&context));
+    let requests = fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b"").repeat(500);
     // Until the socket accepts no more responses; far below the limit of unsent bytes for one client.
     while context.unsent_bytes.load(Ordering::Acquire) < 100_000 {
         client.write_all(&requests).expect("written");
     }
     client.shutdown(std::net::Shutdown::Write).expect("open");
     while !matches!(
-        queue.recv_timeout(PATIENCE).expect("the disconnection"),
+        queue.recv_timeout(TIMEOUT).expect("the disconnection"),
         Message::ClientDisconnected { .. }
     ) {}
     assert!(context.unsent_bytes.load(Ordering::Acquire) > 0, "responses are still being written");
     assert!(context.connection_limiter.acquire().is_none(), "two connections with one permit");
     client.read_to_end(&mut Vec::new()).expect("the rest");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while context.connection_limiter.acquire().is_none() {
         assert!(Instant::now() < deadline, "the permit is not released");
         std::thread::yield_now();
@@ -107,22 +112,22 @@
 /// Other clients' requests use up the memory budget. A client that reads its responses must still get them.
 #[test]
 fn responses_are_sent_while_requests_exhaust_the_memory_budget() {
-    let (context, queue) = context(|limits| limits.buffered_bytes = 9_000);
-    let address = fastcgi_front(&context);
+    let (context, queue) = test_context(|limits| limits.buffered_bytes = 9_000);
+    let address = start_fastcgi_server(&context);
     let (mut client, mut other) = (connect(address), connect(address));
-    client.write_all(&call(1, "00000000000000a1", "9000", "x")).expect("written");
-    client.write_all(&call(2, "00000000000000a2", "9000", "y")).expect("written");
+    client.write_all(&fastcgi_call(1, "00000000000000a1", "9000", "x")).expect("written");
+    client.write_all(&fastcgi_call(2, "00000000000000a2", "9000", "y")).expect("written");
     let ((_, receiver, first), (_, _, second)) = (next_request(&queue), next_request(&queue));
-    let request = call(1, "00000000000000a3", "9000", &"z".repeat(7_900));
+    let request = fastcgi_call(1, "00000000000000a3", "9000", &"z".repeat(7_900));
     other.write_all(&request[..request.len() - RECORD_HEADER]).expect("written");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while context.memory_budget.used() < 8_000 {
         assert!(Instant::now() < deadline, "the body is not read");
         std::thread::yield_now();
     }
     for tag in [first, second] {
         receiver.respond(tag, Response::Served(Payload::Bytes(vec![b'a'; 2_000])));
-        let (head, body, _) = fastcgi_answer(&mut client).expect("a response");
+        let (head, body, _) = read_fastcgi_response(&mut client).expect("a response");
         assert!(head.starts_with("Status: 200") && body.len() == 2_000, "{head}");
     }
 }
--- a/heronslip/tests/ending.rs
+++ b/heronslip/tests/ending.rs
@@ -2,7 +2,7 @@
 //! tests block coroutines to force the order of events.
 mod common;
 
-use common::{connect, context, fastcgi, fastcgi_front, PATIENCE};
+use common::{connect, fastcgi_request, start_fastcgi_server, test_context, TIMEOUT};
 use heronslip::messages::Message;
 use heronslip::net::{spawn, ConnectionPermit, Socket};
 use heronslip::server::{accept_connections, Acceptor, ServerContext};
@@ -22,7 +22,7 @@
         arrived.send(()).expect("the receiver is alive");
         released.recv().expect("released");
     }
-    stream.write_within(b"1", PATIENCE).expect("written");
+    stream.write_within(b"1", TIMEOUT).expect("written");
     let _ = stream.read(&mut [0]); // until the client closes the connection
 }
 
@@ -30,7 +30,7 @@
 /// A listener that closes earlier resets them, and their requests are lost.
 #[test]
 fn waiting_connections_are_accepted_before_the_listener_closes() {
-    let (context, _queue) = context(|limits| limits.shutdown_listen_time = PATIENCE);
+    let (context, _queue) = test_context(|limits| limits.shutdown_listen_time = TIMEOUT);
     let acceptor = Acceptor::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = acceptor.listener.local_addr().expect("bound");
     let ((release, released), (arrive, arrived)) = (channel(), channel());
@@ -39,7 +39,7 @@
     spawn(64 * 1024, move || accept_connections(&accepting, &server_context, "test", block_then_write))
         .expect("a coroutine");
     let mut clients = vec![connect(address)];
-    arrived.recv_timeout(PATIENCE).expect("the first connection is accepted");
+    arrived.recv_timeout(TIMEOUT).expect("the first connection is accepted");
     clients.extend((1..20).map(|_| connect(address)));
     let closing = std::thread::spawn({
         let (acceptor, context) = (acceptor.clone(), context.clone());
@@ -64,21 +64,21 @@
 /// shutdown could end before.
 #[test]
 fn a_request_queued_for_the_core_is_counted() {
-    let (context, queue) = context(|_| ());
-    let mut client = connect(fastcgi_front(&context));
+    let (context, queue) = test_context(|_| ());
+    let mut client = connect(start_fastcgi_server(&context));
     let params = [
         ("SCRIPT_NAME", "/v1/any"),
         ("HTTP_REQ_ID", "00000000000000aa"),
         ("HTTP_REQ_WAIT_MS", "900"),
         ("HTTP_REQ_KEY", common::FUNCTION),
     ];
-    client.write_all(&fastcgi(1, &params, b"x")).expect("written");
-    let message = queue.recv_timeout(PATIENCE).expect("the queued request");
+    client.write_all(&fastcgi_request(1, &params, b"x")).expect("written");
+    let message = queue.recv_timeout(TIMEOUT).expect("the queued request");
     assert!(matches!(message, Message::Request { .. }));
     // The reader is done with the first request once it has rejected the next one.
-    client.write_all(&fastcgi(2, &[], b"")).expect("written");
-    assert!(common::fastcgi_answer(&mut client).expect("a response").0.starts_with("Status: 400"));
-    let deadline = Instant::now() + PATIENCE;
+    client.write_all(&fastcgi_request(2, &[], b"")).expect("written");
+    assert!(common::read_fastcgi_response(&mut client).expect("a response").0.starts_with("Status: 400"));
+    let deadline = Instant::now() + TIMEOUT;
     while context.incoming_requests.load(Ordering::Acquire) > 1 && Instant::now() < deadline {
         std::thread::yield_now();
     }
--- a/heronslip/tests/fronts.rs
+++ b/heronslip/tests/fronts.rs
@@ -1,9 +1,9 @@
 //! Scenarios of requests, each run with both client protocols and both worker protocols.
 mod common;
 
-use common::{Speech, Stage};
+use common::{Protocol, TestProgram};
 use rstest::rstest;
-use Speech::{Kserve, Platform};
+use Protocol::{Kserve, Platform};
 
 /// Requests with different outcomes: served, retried after a lost or rejected attempt, failed.
 const MIXED_REQUESTS: &str = "
@@ -13,8 +13,8 @@
     client expect served ONE
     client send tile-order k1 two 3000
     worker expect tile-order k1 two
-    worker send half
-    worker expect tile-order k1 two same
+    worker send truncated
+    worker expect tile-order k1 two same-zone
     worker send ok TWO
     client expect served TWO
     client send tile-render - three 3000
@@ -34,27 +34,30 @@
 /// A worker connection on which a reply stops midway is closed, and the call is sent to another worker once.
 #[rstest]
 #[case::stops_midway("worker send stall\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
-fn stalled_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
-    let stage = Stage::new(workers);
-    stage.play(Platform, &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"));
+fn stalled_worker_connections_end(#[values(Platform, Kserve)] workers: Protocol, #[case] then: &str) {
+    let program = TestProgram::new(workers);
+    program.run_scenario(
+        Platform,
+        &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"),
+    );
 }
 
 /// A worker connection that stays open but silent is closed too. One on which a call only takes long is not.
 #[rstest]
-#[case::mute("worker hush\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
+#[case::mute("worker mute\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
 #[case::slow("wait 600\nworker send ok X\nclient expect served X\nworker expect nothing")]
 fn mute_worker_connections_end(#[case] then: &str) {
     let send = "client send tile-render - x 3000\nworker expect tile-render - x";
-    Stage::new(Platform).play(Platform, &format!("{send}\n{then}"));
+    TestProgram::new(Platform).run_scenario(Platform, &format!("{send}\n{then}"));
 }
 
 /// The same requests have the same outcomes, and workers receive the same calls, with each pair of protocols.
 #[test]
 fn outcomes_are_the_same_with_all_protocols() {
-    let stages = [Platform, Kserve].map(Stage::new);
-    let transcripts: Vec<Vec<String>> = stages
+    let programs = [Platform, Kserve].map(TestProgram::new);
+    let transcripts: Vec<Vec<String>> = programs
         .iter()
-        .flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIXED_REQUESTS)))
+        .flat_map(|program| [Platform, Kserve].map(|front| program.run_scenario(front, MIXED_REQUESTS)))
         .collect();
     assert_eq!(transcripts[0].len(), 11);
     for other in &transcripts[1..] {
@@ -63,13 +66,13 @@
 }
 
 #[rstest]
-// Only the workers of one hall drop duplicates of this class: a request that may have run must stay there.
-#[case::deduplicated_request_stays_in_its_hall(
+// Only the workers of one zone drop duplicates of this class: a request that may have run must stay there.
+#[case::deduplicated_request_stays_in_its_zone(
     "
     client send tile-order k1 x 700
     worker expect tile-order k1 x
-    worker send half
-    worker expect tile-order k1 x same
+    worker send truncated
+    worker expect tile-order k1 x same-zone
     worker close
     client expect failed
     worker expect nothing"
@@ -80,7 +83,7 @@
     client send tile-order k2 x 2000
     worker expect tile-order k2 x
     worker send error
-    worker expect tile-order k2 x same
+    worker expect tile-order k2 x same-zone
     worker send ok DONE
     client expect served DONE"
 )]
@@ -109,7 +112,7 @@
     "
     client send tile-render - x 2000
     worker expect tile-render - x
-    worker send half
+    worker send truncated
     worker expect tile-render - x
     worker send ok DONE
     client expect served DONE"
@@ -142,8 +145,8 @@
     worker expect nothing"
 )]
 fn scenario(
-    #[case] lines: &str, #[values(Platform, Kserve)] front: Speech,
-    #[values(Platform, Kserve)] workers: Speech,
+    #[case] lines: &str, #[values(Platform, Kserve)] front: Protocol,
+    #[values(Platform, Kserve)] workers: Protocol,
 ) {
-    Stage::new(workers).play(front, lines);
+    TestProgram::new(workers).run_scenario(front, lines);
 }
--- a/heronslip/tests/leaving.rs
+++ b/heronslip/tests/leaving.rs
@@ -1,11 +1,14 @@
 //! Clients that disconnect or cancel while their calls wait: such a call must not be sent any more.
 mod common;
 
-use common::stand_ins::hanging_listener;
-use common::{call, connect, fastcgi_answer, frame, Hand, Plan, Received, Stage, PATIENCE};
+use common::stand_ins::saturated_listener;
+use common::{
+    connect, fastcgi_call, read_fastcgi_response, reply_frame, CommandFrame, ProgramConfig, ScriptedWorker,
+    TestProgram, TIMEOUT,
+};
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Payload, Request};
-use heronslip::worker::{frames::Frames, Reports, Transport};
+use heronslip::worker::{frames::FrameTransport, ReportSender, Transport};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,13 +18,13 @@
 /// A call is cancelled while its connection is being established: it must not be written once that is open.
 #[test]
 fn a_call_cancelled_while_connecting_is_not_written() {
-    let (listener, fillers) = hanging_listener();
+    let (listener, fillers) = saturated_listener();
     let address = listener.local_addr().expect("bound");
     let mut limits = Limits::new(192, 1024, &heronslip_policy::Settings::default());
     limits.connect_timeout = Duration::from_secs(60);
     heronslip::net::configure_scheduler(&limits);
     let (queue, _reports) = mpsc::channel();
-    let mut transport = Frames::new(address, Arc::new(limits), Reports(queue));
+    let mut transport = FrameTransport::new(address, Arc::new(limits), ReportSender(queue));
     let request = Request {
         wire_id: 9,
         class: "tile-render".to_owned(),
@@ -39,8 +42,8 @@
         incoming: None,
     };
     let key = AttemptKey { request: 1, attempt: 0 };
-    transport.send(key, &Arc::new(request), 60_000_000, None);
-    transport.cancel(key);
+    transport.send_attempt(key, &Arc::new(request), 60_000_000, None);
+    transport.cancel_attempt(key);
     let accepted: Vec<TcpStream> =
         (0..=fillers.len()).map(|_| listener.accept().expect("a connection").0).collect();
     // The unload command is still written before the connection closes.
@@ -57,23 +60,24 @@
 /// noticed, and all attempts cancelled.
 #[test]
 fn all_calls_of_a_client_that_disconnects_at_its_limit_are_cancelled() {
-    let mut worker = Hand::new();
-    let stage = Stage::with(Plan { workers: vec![worker.address()], ..Plan::default() });
-    let mut client = connect(stage.front);
+    let mut worker = ScriptedWorker::new();
+    let program =
+        TestProgram::with(ProgramConfig { workers: vec![worker.address()], ..ProgramConfig::default() });
+    let mut client = connect(program.fastcgi);
     let mut in_flight = BTreeSet::new();
     for n in 1..=32u16 {
-        client.write_all(&call(n, &format!("{n:016x}"), "60000", "x")).expect("written");
+        client.write_all(&fastcgi_call(n, &format!("{n:016x}"), "60000", "x")).expect("written");
         in_flight.insert(worker.command().id);
     }
     assert_eq!(in_flight.len(), 32);
-    client.write_all(&call(33, "00000000000000a1", "60000", "x")).expect("written");
-    assert_eq!(fastcgi_answer(&mut client).expect("a response").2, 2, "overloaded");
+    client.write_all(&fastcgi_call(33, "00000000000000a1", "60000", "x")).expect("written");
+    assert_eq!(read_fastcgi_response(&mut client).expect("a response").2, 2, "overloaded");
     drop(client);
     while !in_flight.is_empty() {
         let command = worker.command();
         assert!(command.code == 3 && in_flight.remove(&command.id), "code {}", command.code);
     }
-    stage.shows(r#""open_requests":0"#);
+    program.wait_for_state(r#""open_requests":0"#);
 }
 
 /// A client disconnects while its call waits for a load: once the copy is loaded, the call must not be sent.
@@ -82,28 +86,28 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let workers = vec![listener.local_addr().expect("bound")];
     let settings = common::SETTINGS.replace(r#""when-absent":"load""#, r#""when-absent":"miss""#);
-    let stage = Stage::with(Plan { workers, settings, ..Plan::default() });
-    let mut client = connect(stage.front);
-    client.write_all(&call(1, "00000000000000a1", "60000", "gone")).expect("written");
+    let program = TestProgram::with(ProgramConfig { workers, settings, ..ProgramConfig::default() });
+    let mut client = connect(program.fastcgi);
+    client.write_all(&fastcgi_call(1, "00000000000000a1", "60000", "gone")).expect("written");
     let (mut stream, _) = listener.accept().expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     let load = loop {
-        let command = Received::read(&mut stream).expect("a command");
+        let command = CommandFrame::read(&mut stream).expect("a command");
         assert_eq!(command.code, 6, "a call before the copy is loaded");
         if command.field("slots_up") != "0" {
             break command;
         }
-        stream.write_all(&frame(200, command.id, "slots_up=0", &[])).expect("written");
+        stream.write_all(&reply_frame(200, command.id, "slots_up=0", &[])).expect("written");
     };
     drop(client);
-    stage.shows(r#""open_requests":0"#);
-    stream.write_all(&frame(200, load.id, "slots_up=1", &[])).expect("written");
-    let mut other = connect(stage.front);
-    other.write_all(&call(1, "00000000000000a2", "60000", "other")).expect("written");
+    program.wait_for_state(r#""open_requests":0"#);
+    stream.write_all(&reply_frame(200, load.id, "slots_up=1", &[])).expect("written");
+    let mut other = connect(program.fastcgi);
+    other.write_all(&fastcgi_call(1, "00000000000000a2", "60000", "other")).expect("written");
     let first = loop {
-        let command = Received::read(&mut stream).expect("a command");
+        let command = CommandFrame::read(&mut stream).expect("a command");
         match command.code {
-            6 => stream.write_all(&frame(200, command.id, "slots_up=1", &[])).expect("written"),
+            6 => stream.write_all(&reply_frame(200, command.id, "slots_up=1", &[])).expect("written"),
             _ => break command,
         }
     };
--- a/heronslip/tests/system_calls.rs
+++ b/heronslip/tests/system_calls.rs
@@ -1,8 +1,8 @@
 //! Transient failures of system calls, as documented for Linux, injected by the shim.
 mod common;
 
-use common::stand_ins::{counting_worker, obliging_worker};
-use common::{call, connect, fastcgi_answer, Plan, Stage, PATIENCE};
+use common::stand_ins::{counting_worker, serving_worker};
+use common::{connect, fastcgi_call, read_fastcgi_response, ProgramConfig, TestProgram, TIMEOUT};
 use heronslip_shim_control::{ControlFile, FailureRates, SystemCall, CONTROL_VARIABLE, SYSTEM_CALLS};
 use std::io::Write;
 use std::path::PathBuf;
@@ -44,12 +44,13 @@
 fn an_interrupted_read_loses_no_reply() {
     let (worker, calls) = counting_worker();
     let (environment, _) = shim_environment(rates(&[(SystemCall::Read, 800)]));
-    let stage = Stage::with(Plan { workers: vec![worker], environment, ..Plan::default() });
+    let program =
+        TestProgram::with(ProgramConfig { workers: vec![worker], environment, ..ProgramConfig::default() });
     let body = "x".repeat(4_000);
     for id in 1..=30 {
-        let mut client = connect(stage.front);
-        client.write_all(&call(1, &format!("{id:016x}"), "5000", &body)).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("a response");
+        let mut client = connect(program.fastcgi);
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "5000", &body)).expect("written");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("a response");
         assert!(head.starts_with("Status: 200"), "{head}");
     }
     assert_eq!(calls.load(Ordering::Acquire), 30);
@@ -60,30 +61,30 @@
 #[test]
 fn a_graceful_shutdown_accepts_waiting_connections_after_accept_errors() {
     let (environment, control) = shim_environment(rates(&[]));
-    let workers = vec![obliging_worker()];
-    let mut stage = Stage::with(Plan { workers, environment, ..Plan::default() });
+    let workers = vec![serving_worker()];
+    let mut program = TestProgram::with(ProgramConfig { workers, environment, ..ProgramConfig::default() });
     control.set_rates(&rates(&[(SystemCall::Accept, 1_000)])).expect("written");
-    let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(stage.front))).collect();
+    let mut clients: Vec<_> = (1..=10u64).map(|id| (id, connect(program.fastcgi))).collect();
     for (id, client) in &mut clients {
-        client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
     }
-    stage.signal("-TERM");
-    stage.logged("stop: closing the listeners");
+    program.signal("-TERM");
+    program.wait_for_log("stop: closing the listeners");
     std::thread::sleep(Duration::from_millis(50)); // time for several failed accepts
     control.set_rates(&rates(&[])).expect("written");
     for (id, client) in &mut clients {
-        let response = fastcgi_answer(client).map(|(head, _, _)| head);
+        let response = read_fastcgi_response(client).map(|(head, _, _)| head);
         let answered = response.as_ref().is_ok_and(|head| head.starts_with("Status: "));
         assert!(answered, "client {id}: {response:?}");
     }
-    assert!(stage.ended());
+    assert!(program.wait_for_exit());
 }
 
 /// Creating a socket fails when the program starts: it must retry, and listen once that succeeds.
 #[test]
 fn a_start_retries_to_create_a_socket() {
     let (environment, control) = shim_environment(rates(&[(SystemCall::Socket, 1_000)]));
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let stop_failures = std::thread::spawn(move || {
         let failures = || control.injected().expect("read")[SystemCall::Socket as usize];
         while failures() < 3 && Instant::now() < deadline {
@@ -92,9 +93,13 @@
         control.set_rates(&rates(&[])).expect("written");
         failures()
     });
-    let mut stage = Stage::with(Plan { workers: vec![obliging_worker()], environment, ..Plan::default() });
+    let mut program = TestProgram::with(ProgramConfig {
+        workers: vec![serving_worker()],
+        environment,
+        ..ProgramConfig::default()
+    });
     assert!(stop_failures.join().expect("no panic") >= 3);
-    assert!(stage.stop());
+    assert!(program.terminate());
 }
 
 /// Many system calls of all kinds fail transiently: every request must get a response.
@@ -103,13 +108,13 @@
     use SystemCall::{Accept, Connect, Read, Socket, Wait, Write};
     let failing = [(Accept, 300), (Socket, 100), (Connect, 100), (Read, 300), (Write, 300), (Wait, 300)];
     let (environment, _) = shim_environment(rates(&failing));
-    let workers = vec![obliging_worker(), obliging_worker(), obliging_worker()];
-    let stage = Stage::with(Plan { workers, environment, ..Plan::default() });
+    let workers = vec![serving_worker(), serving_worker(), serving_worker()];
+    let program = TestProgram::with(ProgramConfig { workers, environment, ..ProgramConfig::default() });
     let (mut served, requests) = (0, 60);
     for id in 1..=requests {
-        let mut client = connect(stage.front);
-        client.write_all(&call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
-        let (head, _, _) = fastcgi_answer(&mut client).expect("a response");
+        let mut client = connect(program.fastcgi);
+        client.write_all(&fastcgi_call(1, &format!("{id:016x}"), "3000", "x")).expect("written");
+        let (head, _, _) = read_fastcgi_response(&mut client).expect("a response");
         served += usize::from(head.starts_with("Status: 200"));
     }
     assert!(served > requests / 2, "{served} of {requests} served");
--- a/scale/src/soak/process.rs
+++ b/scale/src/soak/process.rs
@@ -60,8 +60,8 @@
     /// Fails if the process cannot be started.
     pub fn start(options: LaunchOptions<'_>, log: &LogTail) -> io::Result<Process> {
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &options.deploy.run])
-            .current_dir(&options.deploy.root)
+            .args(["-c", &options.deploy.command])
+            .current_dir(&options.deploy.working_directory)
             .env("NODE_CONFIG", options.config)
             .env("NODE_NAME", &options.name)
             .env("NODE_LISTEN", options.listen.to_string())
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -8,10 +8,10 @@
 fn the_same_file_and_seed_give_the_same_result() {
     let result_json = |seed| {
         let report = run_experiment(|e| {
-            e.failure = short_failures();
+            e.failures = short_failures();
             e.seed = seed;
         });
-        report.virtual_part().expect("JSON")
+        report.deterministic_json().expect("JSON")
     };
     let first = result_json(5);
     assert_eq!(first, result_json(5));
@@ -27,10 +27,10 @@
 
 #[test]
 fn every_call_has_exactly_one_outcome() {
-    let counts = run_experiment(|e| e.failure = short_failures()).calls.counts;
+    let counts = run_experiment(|e| e.failures = short_failures()).calls.counts;
     let ended = counts.served_in_time + counts.served_late + counts.refused + counts.failed + counts.lost;
-    assert_eq!(counts.asked, ended);
-    assert!(counts.asked > 1_500 && counts.lost > 0, "{counts:?}");
+    assert_eq!(counts.calls, ended);
+    assert!(counts.calls > 1_500 && counts.lost > 0, "{counts:?}");
 }
 
 #[test]
@@ -46,8 +46,8 @@
 #[test]
 fn background_load_keeps_copies_loaded() {
     let without_load = run_experiment(|e| e.fleet.workers = 400);
-    let with_load = run_experiment(|e| (e.fleet.workers, e.fleet.told_front_ends) = (400, Some(40)));
-    let cold_share = |r: &FleetReport| r.calls.counts.cold as f64 / r.calls.counts.asked as f64;
+    let with_load = run_experiment(|e| (e.fleet.workers, e.fleet.configured_front_ends) = (400, Some(40)));
+    let cold_share = |r: &FleetReport| r.calls.counts.cold as f64 / r.calls.counts.calls as f64;
     let (with_load, without_load) = (cold_share(&with_load), cold_share(&without_load));
     assert!(with_load < without_load / 2.0, "{with_load} and {without_load}");
 }
