--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -64,7 +64,7 @@
 }
 
 /// Reads a configuration in chunks and returns all but the events under `known`. Their bytes go to
-/// `event_byte`, each with its place, so that a list of many workers is never in memory as text or JSON.
+/// `event_byte`, each with its position, so that a list of many workers is never in memory as text or JSON.
 fn read_configuration(path: &str, mut event_byte: impl FnMut(BytePosition, u8)) -> ConfigResult<Object> {
     let io_error = |e: std::io::Error| format!("{path}: {e}");
     let scan_error = |e: ScanError| format!("{path}: {e}");
@@ -82,7 +82,7 @@
         for &byte in &chunk[..read] {
             match scanner.push(byte).map_err(scan_error)? {
                 BytePosition::Outside => {}
-                place => event_byte(place, byte),
+                position => event_byte(position, byte),
             }
         }
     }
@@ -105,14 +105,14 @@
         InitialEvents { done: Vec::new(), reader: EventReader::new(INITIAL_EVENT_BOUNDS), event, error: None }
     }
 
-    fn byte(&mut self, place: BytePosition, byte: u8) {
-        if place != BytePosition::After && self.error.is_none() {
+    fn push(&mut self, position: BytePosition, byte: u8) {
+        if position != BytePosition::After && self.error.is_none() {
             match self.reader.push(byte) {
                 Ok(entry) => self.event.entries.extend(entry),
                 Err(error) => self.error = Some(error),
             }
         }
-        if place != BytePosition::Inside {
+        if position != BytePosition::Inside {
             let InitialEvents { mut done, reader, event, error } =
                 std::mem::replace(self, InitialEvents::new());
             let full = error.map_or_else(|| reader.finish(), Err);
@@ -134,7 +134,7 @@
         let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG does not name a file")?;
         let mut initial_events = InitialEvents::new();
-        let fields = read_configuration(&path, |place, byte| initial_events.byte(place, byte))?;
+        let fields = read_configuration(&path, |position, byte| initial_events.push(position, byte))?;
         let mut config = Config::from_fields(&fields, variable("NODE_LISTEN"), variable("NODE_NAME"))?;
         config.initial_events = initial_events.done;
         // The platform leaves this unset: the KServe v2 server is off unless the environment names its file.
--- a/heronslip/tests/program.rs
+++ b/heronslip/tests/program.rs
@@ -98,9 +98,9 @@
 #[case::idle_after_a_request(&format!("{SERVED}\nclient expect closed"))]
 #[case::more_than_a_hundred_silent_connections(&format!("client open 130\n{SERVED}"))]
 fn useless_connections_are_closed(
-    #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol, #[case] scenario: &str,
+    #[values(Protocol::Platform, Protocol::Kserve)] clients: Protocol, #[case] scenario: &str,
 ) {
-    TestProgram::new(Protocol::Platform).run_scenario(front, scenario);
+    TestProgram::new(Protocol::Platform).run_scenario(clients, scenario);
 }
 
 /// A second request with the wire id of an open one fails, and the open one is served.
@@ -157,7 +157,8 @@
     assert!(program.terminate());
 }
 
-/// A request sent just before SIGTERM, and possibly read after it, must get its response before the program exits.
+/// A request sent just before SIGTERM, and possibly read after it, must get its response before the program
+/// exits.
 #[test]
 fn a_graceful_shutdown_answers_open_requests() {
     let mut program = TestProgram::new(Protocol::Platform);
--- a/heronslip/tests/fronts.rs
+++ b/heronslip/tests/protocols.rs
@@ -57,7 +57,7 @@
     let programs = [Platform, Kserve].map(TestProgram::new);
     let transcripts: Vec<Vec<String>> = programs
         .iter()
-        .flat_map(|program| [Platform, Kserve].map(|front| program.run_scenario(front, MIXED_REQUESTS)))
+        .flat_map(|program| [Platform, Kserve].map(|clients| program.run_scenario(clients, MIXED_REQUESTS)))
         .collect();
     assert_eq!(transcripts[0].len(), 11);
     for other in &transcripts[1..] {
@@ -145,8 +145,8 @@
     worker expect nothing"
 )]
 fn scenario(
-    #[case] lines: &str, #[values(Platform, Kserve)] front: Protocol,
+    #[case] lines: &str, #[values(Platform, Kserve)] clients: Protocol,
     #[values(Platform, Kserve)] workers: Protocol,
 ) {
-    TestProgram::new(workers).run_scenario(front, lines);
+    TestProgram::new(workers).run_scenario(clients, lines);
 }
