--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -175,14 +175,15 @@
             function: parse_function(fields)?,
             timeout: require_micros(fields, "left")?,
             memory_mb: number(fields, "ram-mb").unwrap_or(0.0),
+            // Any number is accepted: rounded down, 0 if negative.
             lanes: millis(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
             load_time: millis(fields, "bringup-ms"),
             retry: boolean(fields, "resent"),
         },
         "FINISHED" => {
             let outcome = parse_outcome(fields)?;
-            // The low three bits say whether a copy was loaded, the others count the function's requests
-            // there.
+            // The low three bits say whether a copy was already loaded at the worker, the others hold the
+            // number of requests of the function there.
             let note = unsigned(fields, "note").unwrap_or(0);
             let function_inflight = (note >> 3) as u32;
             Event::Outcome {
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: which requests are refused because requests already take too long.
+//! Admission control: which requests are refused because those in flight already take too long.
 use crate::control::SEC;
 use crate::state::*;
 
@@ -49,7 +49,8 @@
         timeout < service_time || wait > limit * total_target / classes.len().max(1) as f64
     }
 
-    /// Whether a tenant sends more of our traffic than its share of all quotas, by more than chance explains.
+    /// Whether a tenant sends more of our traffic than its share of all quotas, by more than chance explains:
+    /// by two standard deviations.
     /// Its rate here is not compared with its quota: traffic is spread unevenly, so the rate at one front end
     /// says nothing about the rate at all of them.
     pub(crate) fn over_quota(&self, tenant: usize) -> bool {
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,5 +1,5 @@
-//! Entry point of the decision logic: [`Controller::handle`] takes events, the other modules decide, and
-//! actions are returned.
+//! Entry point of the decision logic: [`Controller::handle`] takes an event, calls the modules that decide,
+//! and returns actions.
 //!
 //! The main path follows the paper on adaptive replication in loss networks. A request goes to a uniformly
 //! random worker among those that are assumed to have the function loaded with a free lane: see `placement`.
@@ -31,7 +31,8 @@
 pub(crate) const RESPONSE_MARGIN: Micros = 8 * MS;
 /// Longest time accepted from settings and requests, in microseconds, so that times cannot overflow.
 pub(crate) const MAX_TIME: Micros = 3_600 * SEC;
-/// Load time and latency target if none is stated, and a fifth of the keep-alive, in microseconds.
+/// Load time if none is known, in microseconds. Also a fifth of the keep-alive if none is stated, and the
+/// largest part of a latency target that the first estimate of the service time is based on.
 pub(crate) const DEFAULT_TIME: Micros = SEC;
 /// Without an event for longer, timers included, this front end has stalled; in microseconds.
 const STALL_THRESHOLD: Micros = 2 * STATS_PERIOD;
@@ -83,7 +84,7 @@
             out.push(Action::Timer { delay: TICK, token: PERIODIC_TIMER });
             out.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
         }
-        let now = now.min(u64::MAX / 4);
+        let now = now.min(u64::MAX / 4); // so that adding times to it cannot overflow
         if now > self.last_event_at + STALL_THRESHOLD {
             self.resumed_at = now;
             self.on_stall(self.last_event_at);
@@ -148,11 +149,12 @@
                 Function { id: function, service_time, load_time, ..Function::default() };
         }
         self.last_called = function_slot;
-        let known = &mut self.functions[function_slot];
-        (known.memory_mb, known.lanes) = (positive_or(memory_mb, known.memory_mb), lanes.clamp(1, MAX_LANES));
-        let past = now.saturating_sub(known.last_call) as f64;
-        known.recent_calls = known.recent_calls * (-past / MAX_RATE_SPAN as f64).exp() + 1.0;
-        (known.class, known.last_call) = (class, now);
+        let record = &mut self.functions[function_slot];
+        record.memory_mb = positive_or(memory_mb, record.memory_mb);
+        record.lanes = lanes.clamp(1, MAX_LANES);
+        let past = now.saturating_sub(record.last_call) as f64;
+        record.recent_calls = record.recent_calls * (-past / MAX_RATE_SPAN as f64).exp() + 1.0;
+        (record.class, record.last_call) = (class, now);
         self.set_skipped(function_slot, self.our_share(function_slot).0, rendezvous_score);
         let lifetime = self.copy_lifetime(function_slot);
         for copy in self.functions[function_slot].copies.values_mut().filter(|copy| copy.count > 0) {
@@ -230,7 +232,7 @@
         let copy = self.functions[function_slot]
             .copies
             .get_mut(&worker_slot)
-            .expect("a record of every worker with an attempt");
+            .expect("the copy record stays while an attempt is in flight");
         copy.our_inflight -= 1;
         copy.cold_sends -= u32::from(attempt.cold);
         self.loads_in_flight -= u32::from(attempt.cold);
@@ -284,8 +286,8 @@
         }
     }
 
-    /// Handles the periodic timer: further attempts and queued requests, and from time to time the fleet
-    /// statistics.
+    /// Handles the periodic timer: starts further attempts, places queued requests, and from time to time
+    /// refreshes the fleet statistics.
     pub(crate) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.ticks = self.ticks.saturating_add(1);
         if now >= self.stats_at + STATS_PERIOD {
--- a/src/fleet_stats.rs
+++ b/src/fleet_stats.rs
@@ -16,8 +16,8 @@
 /// time in which our calls reach every worker once.
 pub(crate) const MIN_REPORT_DECAY: f64 = 2.0 * SEC as f64;
 const MAX_REPORT_DECAY: f64 = 15.0 * SEC as f64;
-/// A worker's last report counts in the mean for this long, in microseconds: few calls may go to many
-/// workers.
+/// A worker's last report counts in the mean for this long, in microseconds: where few calls go to many
+/// workers, reports are rare.
 const REPORT_LIFETIME: Micros = 20 * SEC;
 /// A function is forgotten this many keep-alives after its last call.
 const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
@@ -28,7 +28,7 @@
 
 impl Controller {
     /// Refreshes the statistics over the span `past` since the last refresh, and each worker's budget and
-    /// slowness; then sends trial queries and renews copies.
+    /// slowness. Then sends trial queries, renews copies, and forgets functions that are no longer called.
     pub(crate) fn refresh_fleet_stats(&mut self, now: Micros, past: Micros, out: &mut Vec<Action>) {
         let longest_span = self.settings.load_window.max(MAX_RATE_SPAN);
         while self.request_times.front().is_some_and(|&t| t + longest_span < now) {
--- a/src/footprint.rs
+++ b/src/footprint.rs
@@ -21,7 +21,7 @@
 impl Footprint {
     /// Bytes that these records take, without the allocator's overhead and the unused capacity of the trees.
     pub fn bytes(&self) -> usize {
-        // A worker's name is kept in its entry and in the index.
+        // A worker's name, taken as 16 bytes, is kept in its entry and in the index.
         let names = 2 * 16;
         let index = size_of::<usize>();
         self.workers * (size_of::<Worker>() + names + 4 * index)
--- a/src/health.rs
+++ b/src/health.rs
@@ -20,12 +20,14 @@
 /// Fraction of our calls that all suspects together get as trial requests. With many front ends that each see
 /// a worker seldom, every one of them would otherwise lose calls to it for as long as it is unhealthy.
 pub(crate) const TRIAL_SHARE: f64 = 0.02;
-/// First backoff from a worker that is full, in microseconds; doubled each time.
+/// First backoff from a worker that is full, in microseconds; doubled by each further rejected call. Load
+/// commands always pause for this long after a worker had no room for a copy.
 pub(crate) const FULL_BACKOFF: Micros = SEC / 5;
 /// Key of a block that applies to all calls.
 pub(crate) const ALL_CALLS: CallKind = (None, usize::MAX);
-/// Shortest block of a tenant and class that a worker with free capacity rejects, in microseconds. Also the
-/// longest block of all calls. Within it calls of the same kind come round to the worker again.
+/// Shortest block of a tenant and class that a worker with free capacity rejects, in microseconds: in a
+/// shorter time hardly any call of that kind would come to the same worker. Also the longest block of all
+/// calls.
 const MIN_BLOCK: Micros = 5 * SEC;
 /// Longest block of a tenant and class, in microseconds.
 const MAX_BLOCK: Micros = 20 * SEC;
@@ -48,16 +50,16 @@
     /// and compares it with the median.
     pub(crate) fn refresh_slowness(&mut self, worker_slot: usize, past: Micros, now: Micros) {
         let worker = &mut self.workers[worker_slot];
-        // Trial requests clear a suspect. Without one it recovers only after twice the interval between
-        // trials.
+        // Trial requests clear a suspect. Without one it recovers with a time constant of at least twice the
+        // interval between them.
         let trial_decay = if worker.slow { 2.0 * self.trial_interval as f64 } else { 0.0 };
         worker.slowness += (past as f64 / SLOWNESS_DECAY.max(self.report_decay).max(trial_decay)).min(1.0)
             * (1.0 - worker.slowness);
         worker.slow = worker.slowness > SLOW_RATIO * self.median_slowness;
         let Some(&(sent_at, id, n)) = worker.attempts.first() else { return };
         let overdue_after = self.requests.get(&id).map_or(0.0, |r| r.attempts[n].overdue_after);
-        let silent = now.saturating_sub(sent_at.max(worker.last_response).max(self.resumed_at)) as f64;
         // Only responses to calls count: a stalled worker may still reply to commands.
+        let silent = now.saturating_sub(sent_at.max(worker.last_response).max(self.resumed_at)) as f64;
         if silent > overdue_after {
             worker.slowness = worker.slowness.max(FAILURE_SLOWNESS * self.median_slowness);
         }
@@ -74,8 +76,8 @@
     }
 
     /// Blocks calls after a worker rejected one. A worker that is not crowded rejects by tenant or class, so
-    /// only calls of that kind are blocked. Otherwise it is full, or draining before the list says so, and
-    /// all calls are blocked, for a shorter time.
+    /// only calls of that kind are blocked. Otherwise, or if no worker reports its load, it counts as full,
+    /// or as draining before the list says so, and all calls are blocked, for a shorter time.
     pub(crate) fn record_rejection(&mut self, worker_slot: usize, kind: CallKind, now: Micros) {
         let selective = self.load_reported && !self.is_crowded(worker_slot, now);
         let (key, shortest, longest) =
@@ -163,8 +165,8 @@
         *slowness += weight * (sample.unwrap_or(*slowness) - *slowness);
     }
 
-    /// Sends a copy query to each worker whose connection was lost, for a function that it last had loaded. A
-    /// reply clears the suspicion.
+    /// Sends a copy query to each worker whose connection was lost, for the last called function that it is
+    /// assumed to have loaded, or else for the last called one. A reply clears the suspicion.
     pub(crate) fn send_trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
         for &worker_slot in ready {
             let may_query = self.settings.may_command && self.load_tokens >= 1.0;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -6,17 +6,20 @@
 use crate::replication::SLOW_LOAD_RATIO;
 use crate::state::*;
 
-/// A worker is crowded if its requests exceed this multiple of the mean per worker ...
+/// A worker is crowded if its requests, times its slowness, exceed this multiple of the mean per worker by
+/// more than [`CROWDED_EXCESS`].
 const CROWDED_RATIO: f64 = 1.25;
-/// ... by more than this many.
+/// Number of requests: see [`CROWDED_RATIO`].
 const CROWDED_EXCESS: f64 = 0.75;
-/// The same where few front ends serve the workers. Each of them sends a large part of a worker's requests
-/// itself, and with a tighter bound ordinary unevenness caused losses, and with them loads.
+/// In place of [`CROWDED_RATIO`] where few front ends serve the workers. Each of them sends a large part of a
+/// worker's requests itself, and with a tighter bound ordinary unevenness caused losses, and with them loads.
 const CROWDED_RATIO_FEW: f64 = 2.0;
+/// In place of [`CROWDED_EXCESS`] where few front ends serve the workers.
 const CROWDED_EXCESS_FEW: f64 = 1.5;
 /// Most front ends that count as few.
 pub(crate) const FEW_FRONT_ENDS: u32 = 16;
-/// A request is queued without an attempt for at most this fraction of the time to its deadline.
+/// A request is queued without an attempt for at most this fraction of the time from its arrival to its
+/// deadline.
 const MAX_QUEUED_FRACTION: f64 = 0.45;
 /// The same for a function that has never been served here, in microseconds: perhaps no worker knows the
 /// function, and a response is due within 3 s.
@@ -45,7 +48,8 @@
 impl Controller {
     /// Whether a worker may be sent a call of this class now. A draining worker gets nothing from the moment
     /// that the drain is known. A cold worker gets only what its budget allows. A suspect gets only trial
-    /// requests, unless most of the fleet looks bad: then it is the judgement that is wrong.
+    /// requests, which are safe to repeat and sent one at a time while it is connected. If most of the fleet
+    /// looks bad, the judgement is more likely at fault than the workers, and none counts as a suspect.
     pub(crate) fn usable(&self, worker_slot: usize, class: usize, now: Micros) -> bool {
         let worker = &self.workers[worker_slot];
         let over_budget = self.capacity_share(worker_slot, now).is_some()
@@ -58,8 +62,8 @@
             && (!self.is_suspect(worker_slot) || trial)
     }
 
-    /// Whether a worker has more requests than the mean, because other front ends load it or because it is
-    /// slow.
+    /// Whether a worker has clearly more requests than the mean, because other front ends load it or because
+    /// it is slow.
     pub(crate) fn is_crowded(&self, worker_slot: usize, now: Micros) -> bool {
         let few = (2..=FEW_FRONT_ENDS).contains(&self.settings.front_ends);
         let (ratio, excess) =
@@ -173,8 +177,8 @@
         let fits = |worker_slot: &usize| {
             self.usable(*worker_slot, class, now) && self.may_receive(id, *worker_slot, now)
         };
-        // Ties go to the worker with the fewest requests of all front ends: with many front ends ours are
-        // mostly zero.
+        // Ties go to the worker with the fewest requests of all front ends (in sixteenths, as an integer
+        // key): with many front ends ours are mostly zero.
         let load = |worker_slot: usize, copy: &CopyRecord| {
             let inflight = self.estimated_inflight(worker_slot, now) * self.workers[worker_slot].slowness;
             (copy.our_inflight, (inflight * 16.0) as u64)
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -10,8 +10,8 @@
 use crate::interface::{Action, DiscoveryState, Event, Micros, Outcome, RequestId};
 use crate::state::Controller;
 
-/// Most of the grace that is left for the time from a decision to its first byte on the wire, in
-/// microseconds.
+/// Part of the grace that is kept for the time from a decision to its first byte on the wire, in
+/// microseconds; at most a quarter of the grace.
 const LEASE_MARGIN: Micros = 100 * MS;
 /// A lease that ends sooner than this is not used, in microseconds: what is sent under it would be late.
 const MIN_LEASE_LEFT: Micros = 20 * MS;
@@ -106,16 +106,16 @@
         self.discovery.lost
     }
 
-    /// Until when something new may be sent to a worker, as far as is known now; `None` while discovery is
-    /// current.
+    /// Until when something new may be sent to a worker, as far as is known now: 0 if the worker has rejected
+    /// work since it last accepted some, and `None` while discovery is current.
     pub(crate) fn lease_end(&self, worker_slot: usize) -> Option<Micros> {
         let grace = self.settings.drain_grace;
         let duration = grace - LEASE_MARGIN.min(grace / 4);
         self.discovery.lost.then(|| self.workers[worker_slot].lease.end(duration))
     }
 
-    /// Until when something new may be sent to a worker, for the code that carries out actions. `None` while
-    /// discovery is current or if the worker is unknown.
+    /// Until when something new may be sent to a worker, for the code that carries out actions. A time in the
+    /// past if nothing may be sent; `None` while discovery is current or if the worker is unknown.
     pub fn worker_lease_end(&self, worker: &str) -> Option<Micros> {
         self.worker_slots.get(worker).and_then(|&worker_slot| self.lease_end(worker_slot))
     }
@@ -125,7 +125,7 @@
         self.lease_end(worker_slot).is_none_or(|end| now + MIN_LEASE_LEFT < end)
     }
 
-    /// Whether a worker is not chosen because it accepted no work when it was last probed.
+    /// Whether a worker is not chosen because it accepted no work, or did not reply, when it was last probed.
     pub(crate) fn suspended(&self, worker_slot: usize, now: Micros) -> bool {
         self.discovery.lost && now < self.workers[worker_slot].lease.suspended_until
     }
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -32,9 +32,13 @@
 pub(crate) const MAX_QUERY_COST: f64 = 0.01;
 /// Fraction of the keep-alive for which a copy is assumed to stay loaded: allows for latency and jitter.
 const KEEP_ALIVE_USED: f64 = 0.9;
+/// Calls per copy and keep-alive, over all front ends, beyond which a copy is assumed to stay loaded for
+/// longer than one keep-alive.
+const CALLS_PER_COPY_TO_EXTEND: f64 = 4.0;
 /// Most keep-alives for which calls of other front ends are trusted to keep a copy loaded.
 const MAX_LIFETIME_FACTOR: f64 = 4.0;
-/// A load command renews a copy after this fraction of its lifetime, so that it arrives in time.
+/// The last copy is renewed when the rest of its lifetime is shorter than one keep-alive less this fraction
+/// of it, so that the load command arrives in time.
 const RENEW_AT: f64 = 0.75;
 /// The last copy is renewed for this many keep-alives after a call: functions called by timers are called
 /// that often.
@@ -42,22 +46,24 @@
 /// Most load commands of ours in flight to one worker: it runs few loads at a time, and other front ends send
 /// some.
 const LOADS_PER_WORKER: u32 = 2;
-/// Bounds of the adaptive cap on our loads in flight.
+/// Lower bound of the adaptive cap on our loads in flight.
 pub(crate) const MIN_LOAD_CAP: f64 = 1.0;
+/// Upper bound of the adaptive cap on our loads in flight.
 pub(crate) const MAX_LOAD_CAP: f64 = 8.0;
 /// A load that takes this multiple of its usual time shows that the store is overloaded.
 pub(crate) const SLOW_LOAD_RATIO: f64 = 2.0;
 /// A load command that took less time found the copy already loaded, in microseconds.
 const SHORTEST_LOAD: f64 = 20.0 * MS as f64;
-/// Change of the load cap after a load of usual time.
+/// Added to the load cap after a load that took its usual time.
 const LOAD_CAP_INCREASE: f64 = 0.25;
-/// Factor on the load cap after a slow load.
+/// The load cap is multiplied by this after a slow load.
 const LOAD_CAP_DECREASE: f64 = 0.7;
 /// Copies beyond the first for each call in flight: a call takes one core.
 const COPIES_PER_CALL: f64 = 1.0;
 /// All front ends use the same copies of a function if together they need at most this many.
 const MAX_SHARED_COPIES: f64 = 16.0;
-/// Beyond that a front end uses this many times its equal share of the copies, and [`QUERIED_WORKERS`] more.
+/// Beyond [`MAX_SHARED_COPIES`] a front end uses this many times its equal share of the copies, and
+/// [`QUERIED_WORKERS`] more.
 const SHARE_FACTOR: f64 = 2.0;
 /// Most copies of one function at a worker that a load command asks for.
 const MAX_COPIES_AT_WORKER: u32 = 16;
@@ -106,13 +112,13 @@
         } else {
             0.0
         };
-        (keep_alive * (calls_per_copy / 4.0).clamp(1.0, MAX_LIFETIME_FACTOR)) as Micros
+        (keep_alive * (calls_per_copy / CALLS_PER_COPY_TO_EXTEND).clamp(1.0, MAX_LIFETIME_FACTOR)) as Micros
     }
 
     /// Draws whether a request counts as a virtual loss. With D warm copies, lambda requests in flight, Z
     /// free copies and z* = (D - lambda) / theta, the probability is (min z* / z*) q(Z) if Z <= z*, and 0
-    /// otherwise. It applies only while theta >= 1, D > 0 and z* >= 1. The minimum is that over all
-    /// functions.
+    /// otherwise. Here q(Z) is the product of (lambda + i theta) / (D - i + 1) over i = 1..Z, and the minimum
+    /// is that over all functions. Virtual losses occur only while theta >= 1, D > 0 and z* >= 1.
     pub(crate) fn virtual_loss(&mut self, function_slot: usize, now: Micros) -> bool {
         let theta = theta(self.busy_fraction, self.copies_per_worker);
         let (copies, inflight) = self.copies_and_inflight(&self.functions[function_slot], now);
@@ -127,7 +133,8 @@
     }
 
     /// Sends copy queries to the first workers of the preference order, so that a copy that another front end
-    /// has loaded is used instead of loading one more. Returns whether replies are awaited.
+    /// has loaded is used instead of loading one more. A single front end queries all workers. Returns
+    /// whether replies are awaited.
     pub(crate) fn query_copies(&mut self, function_slot: usize, now: Micros, out: &mut Vec<Action>) -> bool {
         let limit = if self.settings.front_ends > 1 { QUERIED_WORKERS } else { usize::MAX };
         let order = if limit == QUERIED_WORKERS {
@@ -177,8 +184,9 @@
     }
 
     /// Loads one more copy after a loss: a real one of the request `lost`, or a virtual one. Does nothing if
-    /// our loads in flight are at their cap, or if a load of the function is already in flight and no request
-    /// is queued for it.
+    /// our loads in flight are at their cap, if load commands are at their limit, or if a load of the
+    /// function is already in flight and no request is queued for it. Returns whether a load command was
+    /// sent.
     pub(crate) fn add_copy(
         &mut self, function_slot: usize, now: Micros, lost: Option<RequestId>, out: &mut Vec<Action>,
     ) -> bool {
@@ -288,7 +296,7 @@
     }
 
     /// Memory in MB that remains at a worker after one more copy, by our own account; negative if it is
-    /// short.
+    /// short, 0 if the worker's memory is unknown.
     pub(crate) fn memory_room(&self, function_slot: usize, worker_slot: usize, now: Micros) -> f64 {
         let machine_type = self.workers[worker_slot].entry.machine_type;
         let memory_mb = self.settings.machine_memory_mb.get(machine_type).copied().unwrap_or(0.0);
@@ -357,8 +365,9 @@
         }
     }
 
-    /// Handles the reply to a load command or a copy query. Slow and failed loads lower the cap on loads in
-    /// flight, to protect the store that workers load from.
+    /// Handles the reply to a load command or a copy query: the number of copies, the outcome, and the time
+    /// since it was sent. Slow and failed loads lower the cap on loads in flight, to protect the store that
+    /// workers load from.
     pub(crate) fn on_loaded(
         &mut self, now: Micros, worker_slot: usize, function_slot: usize, reply: (u32, Outcome, Micros),
         out: &mut Vec<Action>,
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -6,9 +6,10 @@
 /// After a connection reset or a malformed reply, responses may get lost for this long, in microseconds. In
 /// that time requests are hedged if the settings allow it.
 const HEDGE_SPAN: Micros = 5 * SEC;
-/// An attempt is hedged after this multiple of its expected time ...
+/// Within [`HEDGE_SPAN`] an attempt is hedged after this multiple of its expected time, but not before
+/// [`HEDGE_TARGET_FRACTION`] of the latency target has passed.
 const HEDGE_RATIO: f64 = 4.0;
-/// ... and at the earliest after this fraction of the latency target.
+/// See [`HEDGE_RATIO`].
 const HEDGE_TARGET_FRACTION: f64 = 0.5;
 /// An attempt at a suspect is overdue after this multiple of its expected time.
 const SUSPECT_RATIO: f64 = 1.5;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -204,8 +204,8 @@
 }
 
 /// Calls of functions that no worker knows cause loads that fail. If each of them halved the cap on loads,
-/// the calls of all other functions would have to wait for theirs. Only failed loads of known functions lower
-/// the cap.
+/// the calls of all other functions would have to wait for theirs. Only failed loads of functions that have
+/// been served before lower the cap.
 #[test]
 fn loads_of_unknown_functions_that_fail_now_and_then_leave_the_cap_alone() {
     let mut harness = Harness::new(settings(), 8);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Checks the five rules (see `rules.rs`) on seeded random event streams, with a checker that shares no code with
-//! the controller.
+//! Checks the five rules (see `rules.rs`) on seeded random event streams, with a checker that shares no code
+//! with the controller.
 mod common;
 use common::*;
 use heronslip_policy::*;
@@ -22,12 +22,16 @@
     client_finished: bool,
 }
 
-/// Keeps its own record of events and actions, and lists every violation of a rule.
+/// Keeps its own record of events and actions, and lists every violation: of one of the five rules, with the
+/// rule's number, or of the limit on attempts.
 struct Checker {
     settings: Settings,
+    /// Whether the front end stalls from time to time: see [`delivery_time`].
     stalls: bool,
     requests: BTreeMap<u64, RequestRecord>,
+    /// Workers that are draining or gone, and since when.
     unready: BTreeMap<String, Micros>,
+    /// When each worker last started.
     started: BTreeMap<String, Micros>,
     /// Calls sent to each worker process within the overload window after its start.
     calls_to_cold: BTreeMap<(String, Micros), usize>,
@@ -319,8 +323,8 @@
             };
             let sent: usize = checker.requests.values().map(|r| r.attempts.len()).sum();
             assert!(sent >= least_attempts, "configuration {n}, seed {seed}: only {sent} attempts were made");
-            // Each process is counted by itself, because each is overloaded by itself. These bounds on its
-            // first second are far below an overload.
+            // Each process is counted separately, because each can be overloaded. These bounds on the calls
+            // in its first second are far below an overload.
             let (most, all) =
                 (checker.calls_to_cold.values().max(), checker.calls_to_cold.values().sum::<usize>());
             assert!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -115,8 +115,9 @@
     assert!(to_cold < 20, "{to_cold} calls to the cold worker");
 }
 
-/// What all front ends of a fleet send to a worker that has just started adds up to its budget, whatever the
-/// service time of the class: with one core, N calls within the window, plus random variation.
+/// What all front ends of a fleet send to a worker that has just started stays within its budget, whatever
+/// the service time of the class. The budget is the work that the overload multiple allows one core to get
+/// within the overload window; random variation comes on top.
 #[test]
 fn rule_4_holds_for_the_sum_of_a_fleet() {
     for class in [0, 1] {
