--- a/src/control.rs
+++ b/src/control.rs
@@ -235,7 +235,7 @@
             .expect("the copy record stays while an attempt is in flight");
         copy.our_inflight -= 1;
         copy.cold_sends -= u32::from(attempt.cold);
-        self.loads_in_flight -= u32::from(attempt.cold);
+        self.inflight_loads -= u32::from(attempt.cold);
         let mut served = false;
         if self.workers[worker_slot].ready() && !before_restart {
             match outcome {
--- a/src/fleet_stats.rs
+++ b/src/fleet_stats.rs
@@ -80,8 +80,8 @@
             .map(|(copies, inflight)| (copies as f64 - inflight) / theta);
         self.min_z_star = z_stars.filter(|&z_star| z_star >= 1.0).fold(f64::INFINITY, f64::min);
         let recent_and_warm = |r: &&Request| {
-            let in_flight = r.attempts.last().is_some_and(|a| a.open && !a.cold);
-            in_flight && !r.done && now < r.arrived_at + 2 * self.settings.classes[r.class].latency_target
+            let open = r.attempts.last().is_some_and(|a| a.open && !a.cold);
+            open && !r.done && now < r.arrived_at + 2 * self.settings.classes[r.class].latency_target
         };
         // From 0 where calls are many, so that the backlog is the present count, to 1 where they are few.
         let scarcity = (span - MIN_RATE_SPAN as f64) / (MAX_RATE_SPAN - MIN_RATE_SPAN) as f64;
--- a/src/health.rs
+++ b/src/health.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A connection was refused or lost. The worker is not chosen until it replies; its copies are still
+    /// A connection could not be established. The worker is not chosen until it replies; its copies are still
     /// assumed to be loaded.
     pub(crate) fn mark_disconnected(&mut self, worker_slot: usize, now: Micros) {
         self.workers[worker_slot].disconnected = true;
@@ -165,8 +165,8 @@
         *slowness += weight * (sample.unwrap_or(*slowness) - *slowness);
     }
 
-    /// Sends a copy query to each worker whose connection was lost, for the last called function that it is
-    /// assumed to have loaded, or else for the last called one. A reply clears the suspicion.
+    /// Sends a copy query to each worker whose connection was refused or lost, for the last called function
+    /// that it is assumed to have loaded, or else for the last called one. A reply clears the suspicion.
     pub(crate) fn send_trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
         for &worker_slot in ready {
             let may_query = self.settings.may_command && self.load_tokens >= 1.0;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -217,7 +217,7 @@
         {
             // No load command may be sent, because of a limit or the settings. If calls load by themselves,
             // this one does.
-            let may_send = self.settings.load_on_miss && f64::from(self.loads_in_flight) < self.load_cap;
+            let may_send = self.settings.load_on_miss && f64::from(self.inflight_loads) < self.load_cap;
             if let Some(worker_slot) =
                 may_send.then(|| self.choose_load_target(function_slot, now, Some(id))).flatten()
             {
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -18,11 +18,11 @@
 /// A request waits this long for the probe of one worker before another worker is probed for it, in
 /// microseconds: several round trips.
 const PROBE_WAIT: Micros = 60 * MS;
-/// First pause before a worker is probed again that accepted no work or did not reply, in microseconds;
+/// First suspension of a worker that accepted no work, or did not reply, when it was probed, in microseconds;
 /// doubled each time.
-const MIN_PROBE_PAUSE: Micros = 200 * MS;
-/// Longest such pause, in microseconds.
-const MAX_PROBE_PAUSE: Micros = 5_000 * MS;
+const MIN_SUSPENSION: Micros = 200 * MS;
+/// Longest suspension, in microseconds.
+const MAX_SUSPENSION: Micros = 5_000 * MS;
 
 /// What is known of discovery.
 #[derive(Default)]
@@ -44,8 +44,8 @@
     probe_sent_at: Option<Micros>,
     /// While discovery is lost, nothing is sent to the worker before this.
     suspended_until: Micros,
-    /// Length of the last suspension.
-    pause: Micros,
+    /// Length of the last suspension; 0 once a probe has succeeded.
+    suspension: Micros,
 }
 
 impl Lease {
@@ -72,8 +72,8 @@
     }
 
     fn suspend(&mut self, now: Micros) {
-        self.pause = (2 * self.pause).clamp(MIN_PROBE_PAUSE, MAX_PROBE_PAUSE);
-        self.suspended_until = now + self.pause;
+        self.suspension = (2 * self.suspension).clamp(MIN_SUSPENSION, MAX_SUSPENSION);
+        self.suspended_until = now + self.suspension;
     }
 }
 
@@ -197,7 +197,7 @@
         if outcome == Outcome::Ok {
             self.confirm_ready(worker_slot, sent_at);
             let lease = &mut self.workers[worker_slot].lease;
-            (lease.pause, lease.suspended_until) = (0, 0);
+            (lease.suspension, lease.suspended_until) = (0, 0);
         } else {
             let lease = &mut self.workers[worker_slot].lease;
             lease.refute(sent_at);
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -174,13 +174,13 @@
         if no_tokens || window == 0 {
             return no_tokens;
         }
-        while self.load_times.front().is_some_and(|&t| t + window + RESPONSE_MARGIN < now) {
-            self.load_times.pop_front();
+        while self.load_command_times.front().is_some_and(|&t| t + window + RESPONSE_MARGIN < now) {
+            self.load_command_times.pop_front();
         }
         let in_window = |&&t: &&Micros| t + window > now + RESPONSE_MARGIN;
         let requests = self.request_times.iter().rev().take_while(in_window).count();
         let allowed = self.settings.free_loads + self.settings.loads_per_request * requests as f64;
-        (self.load_times.len() + 1) as f64 > if reserve { allowed / 2.0 } else { allowed }
+        (self.load_command_times.len() + 1) as f64 > if reserve { allowed / 2.0 } else { allowed }
     }
 
     /// Loads one more copy after a loss: a real one of the request `lost`, or a virtual one. Does nothing if
@@ -198,7 +198,7 @@
         // would unload each other's copies. So the calls in flight limit the number of known copies.
         let known = self.copies_and_inflight(function, now).0 as f64;
         let enough = self.settings.front_ends > 1 && known >= 1.0 + self.our_share(function_slot).1.round();
-        let at_limit = f64::from(self.loads_in_flight) + 1.0 > cap || enough;
+        let at_limit = f64::from(self.inflight_loads) + 1.0 > cap || enough;
         if !self.settings.may_command
             || at_limit
             || (pending && function.queued.is_empty())
@@ -236,7 +236,7 @@
             self.usable(worker_slot, class, now)
                 && !(self.is_suspect(worker_slot) || here)
                 && (warm_too || !self.is_crowded(worker_slot, now))
-                && worker.loads_in_flight < LOADS_PER_WORKER
+                && worker.inflight_loads < LOADS_PER_WORKER
                 && now >= worker.no_loads_until
                 && id.is_none_or(|id| self.may_receive(id, worker_slot, now))
         };
@@ -414,8 +414,8 @@
             }
         }
         if let Command::Load(_) = command {
-            self.loads_in_flight -= 1;
-            self.workers[worker_slot].loads_in_flight -= 1;
+            self.inflight_loads -= 1;
+            self.workers[worker_slot].inflight_loads -= 1;
             let function = &mut self.functions[function_slot];
             let took = elapsed as f64;
             if outcome == Outcome::Ok && !was_loaded && took > SHORTEST_LOAD {
--- a/src/state.rs
+++ b/src/state.rs
@@ -156,7 +156,7 @@
     /// Running mean of response times relative to what was expected, with failures counted as slow responses:
     /// 1 is normal, higher is worse.
     pub(crate) slowness: f64,
-    /// Its connection was refused or lost and it has not replied since.
+    /// A connection to it could not be established, and it has not replied to a call or a command since.
     pub(crate) disconnected: bool,
     /// Its slowness is a multiple of the median.
     pub(crate) slow: bool,
@@ -170,7 +170,7 @@
     pub(crate) no_loads_until: Micros,
     pub(crate) blocks: BTreeMap<CallKind, Block>,
     /// Our load commands in flight to it.
-    pub(crate) loads_in_flight: u32,
+    pub(crate) inflight_loads: u32,
     /// Slow start: work that may be sent to it while it is cold, in microseconds of service time.
     pub(crate) cold_budget: f64,
     /// The fraction of a call's service time that the budget must cover for the next call while the worker is
@@ -241,7 +241,7 @@
             restart_suspected: false,
             no_loads_until: 0,
             blocks: BTreeMap::new(),
-            loads_in_flight: 0,
+            inflight_loads: 0,
             cold_budget: 0.0,
             cold_threshold: 1.0,
             lease: Lease::new(now),
@@ -250,8 +250,8 @@
         }
     }
 
-    /// The worker has replied after its connection was lost: clears the loss, and limits its slowness to
-    /// `max_slowness` to take back what the loss added.
+    /// The worker has replied after its connection was refused or lost: clears the suspicion, and limits its
+    /// slowness to `max_slowness` to take back what the failed connection added.
     pub(crate) fn reconnected(&mut self, max_slowness: f64) {
         if std::mem::take(&mut self.disconnected) | std::mem::take(&mut self.restart_suspected) {
             self.slowness = self.slowness.min(max_slowness);
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Whether its connection was lost, so that its process and with it its copies may be gone.
+    /// Whether its connection was refused or lost, so that its process and with it its copies may be gone.
     pub(crate) fn copies_unconfirmed(&self) -> bool {
         self.disconnected || self.restart_suspected
     }
@@ -329,10 +329,10 @@
     /// Arrival times of recent requests.
     pub(crate) request_times: VecDeque<Micros>,
     /// Times of recent load commands, for the limit on them.
-    pub(crate) load_times: VecDeque<Micros>,
+    pub(crate) load_command_times: VecDeque<Micros>,
     /// Loads in flight: load commands, and calls that load the function.
-    pub(crate) loads_in_flight: u32,
-    /// Adaptive cap on `loads_in_flight`.
+    pub(crate) inflight_loads: u32,
+    /// Adaptive cap on `inflight_loads`.
     pub(crate) load_cap: f64,
     /// Running mean of the response time of each class, in microseconds.
     pub(crate) class_service_time: Vec<f64>,
@@ -345,7 +345,8 @@
     pub(crate) median_slowness: f64,
     /// Most of the fleet looks bad, so no worker counts as a suspect.
     pub(crate) ignore_suspicion: bool,
-    /// Running mean of the service time that one worker's capacity does for us per unit of time.
+    /// Running mean of the service time that one worker at full capacity spends on our calls, per unit of
+    /// time.
     pub(crate) work_rate: f64,
     /// Service time of the calls served since the last refresh, in microseconds.
     pub(crate) work_done: f64,
@@ -544,10 +545,10 @@
         &mut self, function_slot: usize, worker_slot: usize, count: u32, now: Micros, out: &mut Vec<Action>,
     ) {
         self.copy_record(function_slot, worker_slot).command = Some(Command::Load(now));
-        self.load_times.push_back(now);
+        self.load_command_times.push_back(now);
         self.load_tokens -= 1.0;
-        self.workers[worker_slot].loads_in_flight += 1;
-        self.loads_in_flight += 1;
+        self.workers[worker_slot].inflight_loads += 1;
+        self.inflight_loads += 1;
         out.push(self.load_action(function_slot, worker_slot, count));
     }
 
@@ -562,7 +563,7 @@
         let copy = function.copies.entry(worker_slot).or_default();
         (copy.our_inflight, copy.reserved) = (copy.our_inflight + 1, false);
         copy.cold_sends += u32::from(cold);
-        self.loads_in_flight += u32::from(cold);
+        self.inflight_loads += u32::from(cold);
         let (expected_time, overdue_after) = times;
         request.attempts.push(Attempt {
             worker: worker_slot,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -170,7 +170,7 @@
 
 #[test]
 fn a_store_that_fails_loads_lowers_the_cap_on_loads_in_flight() {
-    let loads_in_flight = |fail: bool| {
+    let load_commands_sent = |fail: bool| {
         let mut harness = Harness::new(settings(), 8);
         for function in 0..12 {
             harness.make_warm(function, 200 + function, &["w0"]); // so that the function has been served
@@ -200,12 +200,12 @@
         }
         load_commands
     };
-    assert!(loads_in_flight(true) < loads_in_flight(false));
+    assert!(load_commands_sent(true) < load_commands_sent(false));
 }
 
 /// Calls of functions that no worker knows cause loads that fail. If each of them halved the cap on loads,
-/// the calls of all other functions would have to wait for theirs. Only failed loads of functions that have
-/// been served before lower the cap.
+/// the calls of all other functions would have to wait for theirs. An error lowers the cap only if the
+/// function has been served before.
 #[test]
 fn loads_of_unknown_functions_that_fail_now_and_then_leave_the_cap_alone() {
     let mut harness = Harness::new(settings(), 8);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -10,7 +10,7 @@
 struct AttemptRecord {
     worker: String,
     sent_at: Micros,
-    in_flight: bool,
+    open: bool,
     may_have_run: bool,
 }
 
@@ -93,7 +93,7 @@
             Event::Outcome { id, attempt, outcome, closed, .. } => {
                 let record = self.requests.get_mut(id).unwrap();
                 let attempt_record = &mut record.attempts[*attempt];
-                attempt_record.in_flight = false;
+                attempt_record.open = false;
                 let did_not_run =
                     [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
                 attempt_record.may_have_run = !did_not_run.contains(outcome);
@@ -115,7 +115,7 @@
                 if record.attempts.len() as u32 >= self.settings.max_attempts {
                     report("too many attempts");
                 }
-                if !self.settings.may_hedge && record.attempts.iter().any(|a| a.in_flight) {
+                if !self.settings.may_hedge && record.attempts.iter().any(|a| a.open) {
                     report("2 two attempts at once");
                 }
                 let cell = |w: &str| w[1..].parse::<usize>().unwrap() / 2;
@@ -128,7 +128,7 @@
                 record.attempts.push(AttemptRecord {
                     worker: worker.clone(),
                     sent_at: now,
-                    in_flight: true,
+                    open: true,
                     may_have_run: true,
                 });
                 if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
@@ -323,8 +323,8 @@
             };
             let sent: usize = checker.requests.values().map(|r| r.attempts.len()).sum();
             assert!(sent >= least_attempts, "configuration {n}, seed {seed}: only {sent} attempts were made");
-            // Each process is counted separately, because each can be overloaded. These bounds on the calls
-            // in its first second are far below an overload.
+            // Each process is counted separately, because each is overloaded on its own. These bounds on the
+            // calls in its first second are far below an overload.
             let (most, all) =
                 (checker.calls_to_cold.values().max(), checker.calls_to_cold.values().sum::<usize>());
             assert!(
