--- a/src/control.rs
+++ b/src/control.rs
@@ -32,7 +32,7 @@
 /// Longest time accepted from settings and requests, in microseconds, so that times cannot overflow.
 pub(crate) const MAX_TIME: Micros = 3_600 * SEC;
 /// Load time if none is known, in microseconds. Also a fifth of the keep-alive if none is stated, and the
-/// largest part of a latency target that the first estimate of the service time is based on.
+/// bound on the latency target from which the service time of a class is first estimated.
 pub(crate) const DEFAULT_TIME: Micros = SEC;
 /// Without an event for longer, timers included, this front end has stalled; in microseconds.
 const STALL_THRESHOLD: Micros = 2 * STATS_PERIOD;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -236,7 +236,7 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Micros,
-        /// Whether the request is finished.
+        /// Whether the request is finished, so that it needs no further attempt.
         closed: bool,
         /// Whether a copy was already loaded when the call arrived, if the worker reports it.
         warm: Option<bool>,
