--- a/scale/src/catalogue.rs
+++ b/scale/src/catalogue.rs
@@ -37,15 +37,15 @@
 impl Catalogue {
     /// Draws the functions of an experiment from its seed.
     pub fn new(experiment: &Experiment) -> Self {
-        let mut random = Pcg64::seed_from_u64(experiment.seed ^ CATALOGUE_SEED);
+        let mut rng = Pcg64::seed_from_u64(experiment.seed ^ CATALOGUE_SEED);
         let config = &experiment.functions;
         let class_shares = &experiment.calls.class_shares;
         let functions = (0..config.count).map(|_| Function {
-            id: random.random(),
-            class: pick_class(class_shares, random.random()),
-            memory_mb: interpolate(config.memory_mb, random.random()),
-            load_time: milliseconds(interpolate(config.load_ms, random.random())),
-            work: milliseconds(interpolate(config.work_ms, random.random())),
+            id: rng.random(),
+            class: pick_class(class_shares, rng.random()),
+            memory_mb: interpolate(config.memory_mb, rng.random()),
+            load_time: milliseconds(interpolate(config.load_ms, rng.random())),
+            work: milliseconds(interpolate(config.work_ms, rng.random())),
         });
         let functions: Vec<Function> = functions.collect();
         let mut cumulative = Vec::with_capacity(functions.len());
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -96,7 +96,7 @@
     experiment: &'a Experiment,
     settings: Arc<Settings>,
     clock: VirtualClock,
-    random: Pcg64,
+    rng: Pcg64,
     shared: SharedContext,
     front_ends: Vec<FrontEnd>,
     subscriptions: Vec<Subscription>,
@@ -143,7 +143,7 @@
             schedule: Schedule::new(experiment),
             calls: CallStatistics::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
-            random: Pcg64::seed_from_u64(experiment.seed ^ ENGINE_SEED),
+            rng: Pcg64::seed_from_u64(experiment.seed ^ ENGINE_SEED),
             propagations: BTreeMap::new(),
             propagation_times: DurationHistogram::default(),
             discovery: DiscoveryLoad::default(),
@@ -282,7 +282,7 @@
         let [min, max] = self.experiment.discovery.delay_ms;
         let mut pending = 0;
         for n in 0..self.front_ends.len() {
-            let delay = milliseconds(min + (max - min) * self.random.random::<f64>());
+            let delay = milliseconds(min + (max - min) * self.rng.random::<f64>());
             let subscription = &mut self.subscriptions[n];
             if subscription.cut_at.is_some() || !self.front_ends[n].is_up() {
                 continue;
@@ -364,10 +364,10 @@
     fn reconnect_time(&mut self, n: usize, cut_at: Micros, restored_at: Micros) -> Micros {
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
-        let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, self.random.random());
+        let mut backoff = Backoff::new(limits.board_retry, limits.board_retry_most, self.rng.random());
         let request_timeout = micros(limits.connect.min(limits.board_silence / 2));
         // The cut begins at a random time between two of the discovery server's comments.
-        let mut at = cut_at + micros(limits.board_silence) - self.random.random_range(0..SECOND);
+        let mut at = cut_at + micros(limits.board_silence) - self.rng.random_range(0..SECOND);
         while at < restored_at {
             self.failed_requests += 1;
             // A request that is open when the cut ends times out too: its first packet is lost, and it ends
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Wait of a client before its next retry, where a refusal states none.
-const DEFAULT_RETRY_WAIT_MS: f64 = 100.0;
+const MIN_RETRY_WAIT_MS: f64 = 100.0;
 /// A call that started within this time of its arrival, after a load command, found the copy already loaded
 /// and does not count as cold.
 const ALREADY_LOADED_WITHIN: Micros = 20_000;
@@ -143,10 +143,12 @@
     settings: Arc<Settings>,
     catalogue: Arc<Catalogue>,
     calls_per_s: f64,
-    /// When calls begin, and for how long their rate grows to its full value.
-    ramp: (Micros, Micros),
+    /// When calls begin.
+    ramp_start: Micros,
+    /// Time over which the call rate grows to its full value.
+    ramp_length: Micros,
     max_retries: u32,
-    random: Pcg64,
+    rng: Pcg64,
     /// The controller of the running process; `None` while the front end is down.
     controller: Option<Controller>,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
@@ -203,9 +205,10 @@
             settings: Arc::new(Settings { index: shared.index_of(number), ..(*shared.settings).clone() }),
             catalogue: shared.catalogue.clone(),
             calls_per_s,
-            ramp: (0, shared.ramp),
+            ramp_start: 0,
+            ramp_length: shared.ramp,
             max_retries: shared.max_retries,
-            random: Pcg64::seed_from_u64(seed),
+            rng: Pcg64::seed_from_u64(seed),
             controller: None,
             queue: BinaryHeap::new(),
             sequence: 0,
@@ -224,13 +227,13 @@
 
     /// Starts a new process, with the full worker list as of the event of this number.
     pub fn start(&mut self, now: Micros, number: u64, list: Arc<Vec<WorkerEntry>>) {
-        self.controller = Some(Controller::new((*self.settings).clone(), self.random.random()));
+        self.controller = Some(Controller::new((*self.settings).clone(), self.rng.random()));
         self.schedule(now, FrontEndEvent::ListSnapshot(number, list));
     }
 
     /// Starts the calls of its own clients.
     pub fn start_calls(&mut self, now: Micros) {
-        self.ramp.0 = now;
+        self.ramp_start = now;
         let first = now + self.next_interval();
         self.schedule(first, FrontEndEvent::NextCall);
     }
@@ -295,15 +298,14 @@
 
     /// Draws the time until the next call of its own clients, which arrive as a Poisson process.
     fn next_interval(&mut self) -> Micros {
-        let drawn: f64 = self.random.random();
-        (-(1.0 - drawn).ln() / self.calls_per_s * SECOND as f64) as Micros + 1
+        let uniform: f64 = self.rng.random();
+        (-(1.0 - uniform).ln() / self.calls_per_s * SECOND as f64) as Micros + 1
     }
 
     /// Whether to make a call that is due at the full rate; during the ramp only a growing share is made.
     fn ramp_allows_call(&mut self) -> bool {
-        let (start, length) = self.ramp;
-        let elapsed = self.now.saturating_sub(start);
-        elapsed >= length || self.random.random::<f64>() * (length as f64) < elapsed as f64
+        let elapsed = self.now.saturating_sub(self.ramp_start);
+        elapsed >= self.ramp_length || self.rng.random::<f64>() * (self.ramp_length as f64) < elapsed as f64
     }
 
     fn handle(&mut self, event: FrontEndEvent) {
@@ -311,7 +313,7 @@
             FrontEndEvent::NextCall => {
                 let next = self.now + self.next_interval();
                 self.schedule(next, FrontEndEvent::NextCall);
-                let rank = self.catalogue.rank(self.random.random());
+                let rank = self.catalogue.rank(self.rng.random());
                 if self.ramp_allows_call() {
                     self.start_request(ClientCall { rank, sent: self.now, retries: 0 });
                 }
@@ -565,7 +567,7 @@
             let call = record(request, self.now, CallOutcome::Refused, None);
             self.output.ended_calls.push(call);
         } else {
-            let wait = retry_after.max(milliseconds(DEFAULT_RETRY_WAIT_MS));
+            let wait = retry_after.max(milliseconds(MIN_RETRY_WAIT_MS));
             self.schedule(self.now + wait, FrontEndEvent::Retry(call));
         }
         self.remove_if_done(id);
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 /// Timeout of a client whose class states none.
-const DEFAULT_TIMEOUT: Micros = 3 * SECOND;
+const DEFAULT_CLIENT_TIMEOUT: Micros = 3 * SECOND;
 /// Limit of the concurrent requests on a connection, by the protocol.
 const MAX_REQUESTS_PER_CONNECTION: usize = 32;
 /// Time without a request after which a connection is closed, by the protocol.
@@ -110,7 +110,7 @@
     settings: Arc<Settings>,
     calls_per_s: f64,
     clock: RealClock,
-    random: Pcg64,
+    rng: Pcg64,
     records: RecordSender,
     connections: Vec<Connection>,
 }
@@ -121,9 +121,9 @@
         address: SocketAddr, seed: u64, calls_per_s: f64, catalogue: Arc<Catalogue>, settings: Arc<Settings>,
         clock: RealClock, records: RecordSender,
     ) -> Self {
-        let random = Pcg64::seed_from_u64(seed);
+        let rng = Pcg64::seed_from_u64(seed);
         let connections = Vec::new();
-        Clients { address, catalogue, settings, calls_per_s, clock, random, records, connections }
+        Clients { address, catalogue, settings, calls_per_s, clock, rng, records, connections }
     }
 
     /// Makes calls until the task is aborted.
@@ -133,8 +133,8 @@
         }
         let mut next = tokio::time::Instant::now();
         loop {
-            let drawn: f64 = self.random.random();
-            next += Duration::from_secs_f64(-(1.0 - drawn).ln() / self.calls_per_s);
+            let uniform: f64 = self.rng.random();
+            next += Duration::from_secs_f64(-(1.0 - uniform).ln() / self.calls_per_s);
             tokio::time::sleep_until(next).await;
             if self.call().await.is_none() {
                 self.record_lost();
@@ -166,11 +166,11 @@
 
     /// Sends a call; a task awaits its response. Returns `None` if it cannot be sent.
     async fn call(&mut self) -> Option<()> {
-        let rank = self.catalogue.rank(self.random.random());
-        let id: u64 = self.random.random();
+        let rank = self.catalogue.rank(self.rng.random());
+        let id: u64 = self.rng.random();
         let function = &self.catalogue.functions[rank];
         let class = self.settings.classes.get(function.class)?;
-        let timeout = if class.client_timeout > 0 { class.client_timeout } else { DEFAULT_TIMEOUT };
+        let timeout = if class.client_timeout > 0 { class.client_timeout } else { DEFAULT_CLIENT_TIMEOUT };
         let mut params = vec![
             ("SCRIPT_NAME", format!("/v1/{}", class.name)),
             ("HTTP_REQ_ID", format!("{id:016x}")),
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -104,17 +104,17 @@
 }
 
 /// A temporary directory for the configuration files, removed when the run ends.
-struct ConfigDirectory(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl ConfigDirectory {
-    fn new() -> io::Result<ConfigDirectory> {
+impl TempDirectory {
+    fn new() -> io::Result<TempDirectory> {
         let path = std::env::temp_dir().join(format!("heronslip-scale-{}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(ConfigDirectory(path))
+        Ok(TempDirectory(path))
     }
 }
 
-impl Drop for ConfigDirectory {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0); // a leftover is in the system's temporary directory
     }
@@ -136,7 +136,7 @@
     let list = WorkerList::new(experiment, settings.machine_memory_mb.len());
     let discovery = DiscoveryServer::start(list, workers.addresses.clone(), settings.machine_types.clone());
     let discovery = discovery.await.map_err(system("binding the listener of the discovery server"))?;
-    let directory = ConfigDirectory::new().map_err(system("creating the directory for configurations"))?;
+    let directory = TempDirectory::new().map_err(system("creating the directory for configurations"))?;
     let configured_list = if experiment.node.list_in_configuration {
         discovery.configured_list()
     } else {
--- a/scale/src/soak/clients.rs
+++ b/scale/src/soak/clients.rs
@@ -1,6 +1,6 @@
 //! Stand-in clients: regular ones, which send requests, cancel some and close some connections early, and bad
 //! ones, which send nothing or no valid request.
-use super::record::{Event, Recorder, Response};
+use super::record::{Event, Micros, Recorder, Response};
 use super::worker::body;
 use crate::node::wire::{encode_abort, encode_request, read_record, Record};
 use rand::{Rng, SeedableRng};
@@ -79,7 +79,7 @@
         number: u64,
         id: u16,
         class: usize,
-        timeout: u64,
+        timeout: Micros,
         bytes: Vec<u8>,
     },
     /// Aborts a request.
--- a/scale/src/soak/discovery_server.rs
+++ b/scale/src/soak/discovery_server.rs
@@ -15,7 +15,7 @@
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 /// An event stream comment, sent as a keep-alive.
 const COMMENT: &[u8] = b":\n\n";
-const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long connections to an old address stay open after the server has moved to a new one.
 const OLD_ADDRESS_LINGER: Duration = Duration::from_millis(1_500);
 /// Share of events that are sent twice.
@@ -103,7 +103,7 @@
     }
 
     /// The version of the worker list, and the list as the value of `known` in a front end's configuration.
-    pub fn known(&self, front_end: usize) -> (u64, String) {
+    pub fn configured_list(&self, front_end: usize) -> (u64, String) {
         let version = self.version();
         (version, format!(r#"{{"rev":{version},"notices":[{}]}}"#, self.0.snapshot(front_end, version)))
     }
@@ -249,7 +249,7 @@
             tokio::select! {
                 _ = version_changes.changed() => {}
                 _ = status.changed() => {}
-                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {}
+                () = tokio::time::sleep(COMMENT_INTERVAL) => {}
                 byte = read.read_u8() => if byte.is_err() { return },
             }
         }
--- a/scale/src/soak/process.rs
+++ b/scale/src/soak/process.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-const MAX_LOG_LINES: usize = 400;
+const MAX_TAIL_LINES: usize = 400;
 
 /// The last lines that the processes of a front end logged.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
 impl LogTail {
     fn push(&self, line: String) {
         if let Ok(mut lines) = self.0.lock() {
-            if lines.len() == MAX_LOG_LINES {
+            if lines.len() == MAX_TAIL_LINES {
                 lines.pop_front();
             }
             lines.push_back(line);
@@ -48,17 +48,17 @@
 }
 
 /// A front-end process; killed when dropped.
-pub struct Process {
+pub struct FrontEndProcess {
     child: Child,
     pid: i32,
 }
 
-impl Process {
+impl FrontEndProcess {
     /// Starts a process and appends its standard error to `log`.
     ///
     /// # Errors
     /// Fails if the process cannot be started.
-    pub fn start(options: LaunchOptions<'_>, log: &LogTail) -> io::Result<Process> {
+    pub fn start(options: LaunchOptions<'_>, log: &LogTail) -> io::Result<FrontEndProcess> {
         let mut child = Command::new("/bin/sh")
             .args(["-c", &options.deploy.command])
             .current_dir(&options.deploy.working_directory)
@@ -83,7 +83,7 @@
                 log.push(line);
             }
         });
-        Ok(Process { child, pid })
+        Ok(FrontEndProcess { child, pid })
     }
 
     /// Its process ID.
--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -5,7 +5,7 @@
 use super::config::{ConfigError, SoakConfig};
 use super::discovery_server::{Change, DiscoveryServer};
 use super::network;
-use super::process::{LaunchOptions, LogTail, Process};
+use super::process::{FrontEndProcess, LaunchOptions, LogTail};
 use super::record::{Command, Event, Outage, Record, Recorder, Response, Signal, WorkerState};
 use super::scenario::{Fault, Scenario};
 use super::violation_trace::violation_trace;
@@ -47,6 +47,9 @@
 const MAX_ATTEMPTS: usize = 3;
 const CLASSES: [&str; 3] = ["lookup", "confirm", "once"];
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
+/// Spreads the seeds of runs, so that front ends of different runs get different seeds: 2^64 divided by the
+/// golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Why a soak cannot be run.
 #[derive(Debug, thiserror::Error)]
@@ -125,7 +128,7 @@
     let mut violations = 0;
     for seed in options.seeds.clone() {
         let scenario = Scenario::draw(&options.config, seed);
-        let folder = TempFolder::new(scenario.seed)?;
+        let folder = TempDirectory::new(scenario.seed)?;
         let run = Arc::new(Run::set_up(options, scenario, &folder).await?);
         let report = tokio::select! {
             report = run.clone().execute(options) => report,
@@ -141,17 +144,17 @@
 }
 
 /// The folder for the configurations and control files of a run, removed when dropped.
-struct TempFolder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl TempFolder {
-    fn new(seed: u64) -> io::Result<TempFolder> {
+impl TempDirectory {
+    fn new(seed: u64) -> io::Result<TempDirectory> {
         let path = std::env::temp_dir().join(format!("heronslip-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(TempFolder(path))
+        Ok(TempDirectory(path))
     }
 }
 
-impl Drop for TempFolder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0); // files that remain are in the system's temporary folder
     }
@@ -166,7 +169,7 @@
     control: ControlFile,
     log: LogTail,
     connect_gate: Arc<ConnectGate>,
-    process: tokio::sync::Mutex<Option<Process>>,
+    process: tokio::sync::Mutex<Option<FrontEndProcess>>,
     wall_clock_offset_s: Mutex<i64>,
 }
 
@@ -216,7 +219,7 @@
     }
 
     async fn set_up(
-        options: &SoakOptions, scenario: Scenario, folder: &TempFolder,
+        options: &SoakOptions, scenario: Scenario, folder: &TempDirectory,
     ) -> Result<Run, SoakError> {
         let recorder = Arc::new(Recorder::start());
         let worker_settings = Arc::new(worker::Settings {
@@ -307,10 +310,10 @@
             .discovery
             .address(number)
             .ok_or_else(|| io::Error::other(format!("no discovery server address for front end {number}")))?;
-        let (version, known) = self.discovery.known(number);
-        let seed = self.scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.recorder.now();
+        let (version, configured_list) = self.discovery.configured_list(number);
+        let seed = self.scenario.seed.wrapping_mul(SEED_MULTIPLIER) ^ self.recorder.now();
         let text = format!(
-            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},"board":"{discovery_address}","known":{known},"settings":{}}}"#,
+            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},"board":"{discovery_address}","known":{configured_list},"settings":{}}}"#,
             front_end.listen,
             self.settings(number)
         );
@@ -333,7 +336,7 @@
                 (CONTROL_VARIABLE.to_owned(), front_end.control_path.display().to_string()),
             ],
         };
-        *front_end.process.lock().await = Some(Process::start(options, &front_end.log)?);
+        *front_end.process.lock().await = Some(FrontEndProcess::start(options, &front_end.log)?);
         Ok(())
     }
 
@@ -476,7 +479,7 @@
         self.publish(worker, process, WorkerState::Ready, true);
     }
 
-    fn signal(&self, front_end: &FrontEnd, process: Option<&Process>, signal: Signal) {
+    fn signal(&self, front_end: &FrontEnd, process: Option<&FrontEndProcess>, signal: Signal) {
         let Some(process) = process else { return };
         self.recorder.record(Event::SignalSent { front_end: front_end.number, signal });
         process.signal(match signal {
@@ -580,7 +583,7 @@
 }
 
 impl FrontEnd {
-    fn new(number: usize, scenario: &Scenario, folder: &TempFolder) -> io::Result<FrontEnd> {
+    fn new(number: usize, scenario: &Scenario, folder: &TempDirectory) -> io::Result<FrontEnd> {
         // Restarts keep the port, which no one else takes: the IP address belongs to this front end alone.
         let listen = std::net::TcpListener::bind((network::front_end(number), 0))?.local_addr()?;
         let control_path = folder.0.join(format!("control-{number}"));
--- a/scale/src/world/failures.rs
+++ b/scale/src/world/failures.rs
@@ -49,10 +49,10 @@
 impl Schedule {
     /// Draws the changes of an experiment from its seed.
     pub fn new(experiment: &Experiment) -> Self {
-        let mut random = Pcg64::seed_from_u64(experiment.seed ^ SCHEDULE_SEED);
+        let mut rng = Pcg64::seed_from_u64(experiment.seed ^ SCHEDULE_SEED);
         let mut pending = Vec::new();
         for (n, failure) in experiment.failures.iter().enumerate() {
-            let (begin, end) = changes(experiment, failure, &mut random);
+            let (begin, end) = changes(experiment, failure, &mut rng);
             let end_at = seconds(failure.at_s + failure.for_s.unwrap_or(0.0));
             pending.extend(begin.into_iter().map(|change| ScheduledChange {
                 at: seconds(failure.at_s),
@@ -65,7 +65,7 @@
                 change,
             }));
         }
-        pending.extend(regular_changes(experiment, &mut random));
+        pending.extend(regular_changes(experiment, &mut rng));
         pending.sort_by_key(|change| std::cmp::Reverse(change.at));
         Schedule { pending }
     }
@@ -90,25 +90,25 @@
 }
 
 /// A random share of the numbers below `count`, at least one of them, in ascending order.
-fn random_subset(count: u32, share: f64, random: &mut Pcg64) -> Vec<usize> {
+fn random_subset(count: u32, share: f64, rng: &mut Pcg64) -> Vec<usize> {
     let mut numbers: Vec<usize> = (0..count as usize).collect();
-    numbers.shuffle(random);
+    numbers.shuffle(rng);
     numbers.truncate(((f64::from(count) * share).round() as usize).max(1));
     numbers.sort_unstable();
     numbers
 }
 
 /// The changes at the beginning and at the end of a failure.
-fn changes(experiment: &Experiment, failure: &Failure, random: &mut Pcg64) -> (Vec<Change>, Vec<Change>) {
+fn changes(experiment: &Experiment, failure: &Failure, rng: &mut Pcg64) -> (Vec<Change>, Vec<Change>) {
     let (fleet, share) = (&experiment.fleet, failure.share.unwrap_or(0.0));
     let single = |begin, end| (vec![begin], vec![end]);
     match failure.kind {
         FailureKind::FrontEndsLost => {
-            let lost = random_subset(fleet.front_ends, share, random);
+            let lost = random_subset(fleet.front_ends, share, rng);
             single(Change::FrontEndsStop(lost.clone()), Change::FrontEndsStart(lost))
         }
         FailureKind::WorkersLost => {
-            let lost = random_subset(fleet.workers, share, random);
+            let lost = random_subset(fleet.workers, share, rng);
             single(Change::WorkersStop(lost.clone()), Change::WorkersStart(lost))
         }
         FailureKind::ZoneLost => {
@@ -128,7 +128,7 @@
         FailureKind::ListChanges => {
             let count = failure.count.unwrap_or(0);
             let share = f64::from(count) / f64::from(fleet.workers);
-            let replaced = random_subset(fleet.workers, share, random);
+            let replaced = random_subset(fleet.workers, share, rng);
             let per_event = experiment.discovery.changes_per_event as usize;
             (replaced.chunks(per_event).map(|c| Change::WorkersReplaced(c.to_vec())).collect(), Vec::new())
         }
@@ -136,13 +136,13 @@
 }
 
 /// Replacements of single workers, spread evenly over the run.
-fn regular_changes(experiment: &Experiment, random: &mut Pcg64) -> Vec<ScheduledChange> {
+fn regular_changes(experiment: &Experiment, rng: &mut Pcg64) -> Vec<ScheduledChange> {
     let per_s = experiment.discovery.changes_per_hour / 3600.0;
     let count = (experiment.duration_s * per_s) as u64;
     let change = |n: u64| ScheduledChange {
         at: ((n as f64 + 0.5) / per_s * SECOND as f64) as Micros,
         failure: None,
-        change: Change::WorkersReplaced(random_subset(experiment.fleet.workers, 0.0, random)),
+        change: Change::WorkersReplaced(random_subset(experiment.fleet.workers, 0.0, rng)),
     };
     (0..count).map(change).collect()
 }
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -499,7 +499,7 @@
         if !ok {
             state.used_mb -= memory;
             self.counts.failed_loads += 1;
-            self.reject_queued_calls(now, worker, rank);
+            self.end_queued_calls_as_misses(now, worker, rank);
         }
         self.reply_to_pending_loads(now, worker, rank, ok);
         self.start_queued_calls(now, worker, rank);
@@ -510,7 +510,7 @@
     }
 
     /// Ends queued calls in a miss after a failed load, unless another copy is loaded or loading.
-    fn reject_queued_calls(&mut self, now: Micros, worker: usize, rank: usize) {
+    fn end_queued_calls_as_misses(&mut self, now: Micros, worker: usize, rank: usize) {
         let state = &mut self.workers[worker];
         let Some(copies) = state.copies.get_mut(&rank) else { return };
         if copies.loaded + copies.loading > 0 {
