--- a/scale/src/bounds.rs
+++ b/scale/src/bounds.rs
@@ -9,9 +9,10 @@
 pub const MAX_PROCESSES: u32 = 200;
 
 /// Bytes of a controller for each listed worker: its record, its name twice, and its entries in the lists.
+/// `tests/slopes.rs` checks that a controller needs less.
 const BYTES_PER_WORKER: f64 = 1_000.0;
 /// Bytes of a controller for each function that it keeps: its record, its known copies, and the start of its
-/// preference order.
+/// preference order. `tests/slopes.rs` checks that a controller needs less.
 const BYTES_PER_FUNCTION: f64 = 5_000.0;
 /// Bytes of a real front end beside its controller: the program, and the ring buffers and stacks of its
 /// connections.
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -1,8 +1,9 @@
 //! The experiment file, in TOML. It is validated completely before the run starts.
 //!
 //! Times are in seconds (`_s`) or milliseconds (`_ms`), sizes in megabytes (`_mb`), rates in events per
-//! second (`_per_s`). What a front end is configured with for its deployment (classes, limits, prices,
-//! machine memory) is in the settings file that `settings` names, in the platform's own format.
+//! second (`_per_s`). What a front end is configured with for its deployment (classes, limits, costs,
+//! machine memory) is in the file that `settings` names: a JSON object, as the `settings` key of a front end's
+//! configuration holds it.
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
--- a/scale/src/fleet/calls.rs
+++ b/scale/src/fleet/calls.rs
@@ -33,7 +33,8 @@
     pub ended: Micros,
     /// How it ended.
     pub outcome: CallOutcome,
-    /// Time from its arrival at the front end to its start at a worker, if it waited for a load.
+    /// Time from its arrival at the front end to its start at a worker, if it waited for a load. With real front
+    /// ends it counts from when the client sent the call.
     pub cold_start: Option<Micros>,
 }
 
--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -23,9 +23,9 @@
 const EPOCH: Micros = 1_000 * SECOND;
 /// How long the run continues after the last call, so that all calls end.
 const DRAIN_TIME: Micros = 10 * SECOND;
-/// Memory limit of a front end in MB, from which its program derives its limits.
+/// Memory limit of a front end in MB, from which its program derives its other limits.
 const MEMORY_LIMIT_MB: u64 = 192;
-/// Descriptor limit of a front end, from which its program derives its limits.
+/// Descriptor limit of a front end, from which its program derives its other limits.
 const DESCRIPTOR_LIMIT: u64 = 1_024;
 /// Width of the time buckets in which requests to the discovery server are counted.
 const BUCKET: Micros = 100_000;
@@ -377,8 +377,8 @@
         at + 2 * self.latency(n, 0)
     }
 
-    /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout
-    /// of connections.
+    /// Counts the front ends connected to each worker: those that sent it a command within the time after which
+    /// their program closes an idle connection, four fifths of the configured idle timeout.
     fn count_connections(&mut self) {
         let idle = self.settings.connection_idle_timeout;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-/// Wait of a client before its next retry, where a refusal states none.
+/// Shortest wait of a client before its next retry, also where a refusal states a shorter one or none.
 const MIN_RETRY_WAIT_MS: f64 = 100.0;
 /// A call that started within this time of its arrival, after a load command, found the copy already loaded
 /// and does not count as cold.
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -172,7 +172,7 @@
     match soak_violations(soak) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(violations) => {
-            eprintln!("heronslip-scale: {violations} broken rules");
+            eprintln!("heronslip-scale: {violations} rule violations");
             ExitCode::FAILURE
         }
         Err(error) => {
--- a/scale/src/node/clients.rs
+++ b/scale/src/node/clients.rs
@@ -230,6 +230,7 @@
             let (warm, started) = (numbers.next(), numbers.next().unwrap_or(sent));
             (CallOutcome::Served, (warm == Some(0)).then(|| started.saturating_sub(sent)))
         }
+        // A front end that is over its limits ends a request without any output.
         "429" | "503" | "" => (CallOutcome::Refused, None),
         _ => (CallOutcome::Failed, None),
     }
--- a/scale/src/node/discovery.rs
+++ b/scale/src/node/discovery.rs
@@ -14,6 +14,7 @@
 use tokio::sync::watch;
 
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+/// An event stream comment, sent as a keep-alive.
 const COMMENT: &[u8] = b":\n\n";
 /// Time after which a comment is sent if there is no event.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
--- a/scale/src/node/run.rs
+++ b/scale/src/node/run.rs
@@ -152,7 +152,7 @@
         let Ok(Some(address)) = listening else {
             // The exit status and the last log lines may only be available a moment later.
             tokio::time::sleep(POLL_INTERVAL).await;
-            let status = process.exit_status().unwrap_or_else(|| "it does not listen".to_owned());
+            let status = process.exit_status().unwrap_or_else(|| "did not start to listen".to_owned());
             return Err(NodeError::Ended { front_end: n, status, log_tail: process.log_tail() });
         };
         tracing::info!(front_end = n, %address, "started");
--- a/scale/src/node/wire.rs
+++ b/scale/src/node/wire.rs
@@ -4,6 +4,7 @@
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
+// FastCGI: the version, the types of records, the flag that keeps a connection open, and the role.
 const VERSION: u8 = 1;
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -195,8 +195,8 @@
     /// The smallest share of the calls of one second that was served in time, until the next failure.
     #[serde(rename = "least_in_time")]
     pub min_in_time_share: f64,
-    /// Seconds from its beginning until as large a share of calls was served in time as before it; `None` if
-    /// that was not reached.
+    /// Seconds from its beginning until the share of calls served in time was at least 95 % of that before it,
+    /// and stayed so until the next failure; `None` if that was not reached.
     pub recovered_after_s: Option<u64>,
 }
 
--- a/scale/src/soak/checker/attempts.rs
+++ b/scale/src/soak/checker/attempts.rs
@@ -1,4 +1,4 @@
-//! The rules on attempts at workers: no duplicate effects, no overlap, no late attempts, true budgets.
+//! The rules on attempts at workers: no duplicate effects, no overlap, no late attempts, correct budgets.
 use super::{RetrySafety, Rule, Rules, Violation, MILLISECOND, TOLERANCE};
 use crate::soak::record::{Command, Event, Micros, Record, Reply, Response};
 use std::collections::BTreeMap;
--- a/scale/src/soak/checker/mod.rs
+++ b/scale/src/soak/checker/mod.rs
@@ -37,9 +37,10 @@
     pub drain_grace: Micros,
     /// Highest number of attempts of a request.
     pub max_attempts: usize,
-    /// A worker that warms up is overloaded by more than this multiple of its capacity ...
+    /// A worker that warms up is overloaded if it gets more calls than this multiple of what it can serve in the
+    /// same time.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// The time over which its calls are counted for that.
     pub overload_window: Micros,
     /// Share of its capacity that a worker has when it starts.
     pub cold_capacity: f64,
--- a/scale/src/soak/checker/slow_start.rs
+++ b/scale/src/soak/checker/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// The rule is violated only if more than this share of the calls came from front ends notified of the start.
 const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
-/// Below this number of calls chance has more weight.
+/// Below this number of calls chance has more weight, and the margin for it is wider.
 const FEW_CALLS: f64 = 30.0;
 /// Steps of the numerical integration of the capacity over a window.
 const INTEGRATION_STEPS: u64 = 32;
--- a/scale/src/soak/clients.rs
+++ b/scale/src/soak/clients.rs
@@ -308,6 +308,7 @@
     match head {
         head if head.starts_with("Status: 200") && content == body(request) => Response::Served,
         head if head.starts_with("Status: 200") => Response::WrongBody,
+        // A front end that is over its limits ends a request without any output.
         head if head.starts_with("Status: 503") || head.starts_with("Status: 429") || head.is_empty() => {
             Response::Refused
         }
@@ -323,8 +324,11 @@
     let whole = encode_request(1, &[("SCRIPT_NAME", "/v1/lookup".to_owned())], b"half");
     let _ = match kind % 4 {
         0 => Ok(()),
+        // HTTP in place of FastCGI.
         1 => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
+        // A request without its last record.
         2 => stream.write_all(&whole[..whole.len() - 8]).await,
+        // A request of an unknown class.
         _ => stream.write_all(&encode_request(1, &[("SCRIPT_NAME", "/v1/none".to_owned())], &[])).await,
     }; // the front end may have closed the connection
     let answered = tokio::time::timeout(BAD_CLIENT_TIMEOUT, stream.read(&mut [0; 256])).await;
--- a/scale/src/soak/config.rs
+++ b/scale/src/soak/config.rs
@@ -65,7 +65,7 @@
     pub drains: u32,
     /// Workers that crash and come back as new processes.
     pub deaths: u32,
-    /// Workers that stop reading and writing for a while.
+    /// Workers that stop executing commands and writing for a while.
     pub hangs: u32,
     /// Workers that reset their idle connections.
     pub resets: u32,
@@ -81,7 +81,7 @@
     pub crowds: u32,
 }
 
-/// Together with `MAX_WORKERS` keeps the tool under a few hundred processes and half of the machine.
+// These bounds keep a soak under a few hundred processes and half of the machine's resources.
 const MAX_FRONT_ENDS: usize = 8;
 const MAX_WORKERS: usize = 100;
 const MAX_FUNCTIONS: usize = 1_000;
--- a/scale/src/soak/discovery_server.rs
+++ b/scale/src/soak/discovery_server.rs
@@ -15,6 +15,7 @@
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 /// An event stream comment, sent as a keep-alive.
 const COMMENT: &[u8] = b":\n\n";
+/// Time after which a comment is sent if there is no event.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long connections to an old address stay open after the server has moved to a new one.
 const OLD_ADDRESS_LINGER: Duration = Duration::from_millis(1_500);
@@ -102,7 +103,7 @@
         *self.0.version.borrow()
     }
 
-    /// The version of the worker list, and the list as the value of `known` in a front end's configuration.
+    /// The version of the worker list, and the full list in the format of the configuration's `known`.
     pub fn configured_list(&self, front_end: usize) -> (u64, String) {
         let version = self.version();
         (version, format!(r#"{{"rev":{version},"notices":[{}]}}"#, self.0.snapshot(front_end, version)))
--- a/scale/src/soak/process.rs
+++ b/scale/src/soak/process.rs
@@ -11,6 +11,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
+/// Last lines of a log that are kept for violation traces.
 const MAX_TAIL_LINES: usize = 400;
 
 /// The last lines that the processes of a front end logged.
--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -26,9 +26,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Time from SIGTERM to SIGKILL, in addition to the longest client timeout.
+/// SIGKILL follows SIGTERM after the longest client timeout, or [`MAX_TIMEOUT_BEFORE_KILL`] if that is shorter,
+/// plus this time: the earliest time that the rules allow.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Upper bound of the client timeout in the time from SIGTERM to SIGKILL.
+/// Client timeouts beyond this do not delay SIGKILL further.
 const MAX_TIMEOUT_BEFORE_KILL: Duration = Duration::from_secs(3);
 /// How long clients go on opening connections after SIGTERM.
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
@@ -36,6 +37,7 @@
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time at the end for pending requests to complete, in addition to the longest client timeout.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(900);
+// Limits and settings of the front ends; the checker judges by the same values.
 const MAX_DESCRIPTORS: u64 = 512;
 const MAX_MEMORY_MB: f64 = 96.0;
 const DEDUP_WINDOW_MS: u64 = 1_500;
@@ -45,6 +47,7 @@
 const COLD_CAPACITY: f64 = 0.2;
 const DRAIN_GRACE_MS: u64 = 1_000;
 const MAX_ATTEMPTS: usize = 3;
+/// The classes of requests: safe to retry, deduplicated, and unsafe to retry.
 const CLASSES: [&str; 3] = ["lookup", "confirm", "once"];
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 /// Spreads the seeds of runs, so that front ends of different runs get different seeds: 2^64 divided by the
@@ -143,7 +146,7 @@
     Ok(violations)
 }
 
-/// The folder for the configurations and control files of a run, removed when dropped.
+/// A temporary directory for the configurations and control files of a run, removed when dropped.
 struct TempDirectory(PathBuf);
 
 impl TempDirectory {
@@ -156,7 +159,7 @@
 
 impl Drop for TempDirectory {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // files that remain are in the system's temporary folder
+        let _ = std::fs::remove_dir_all(&self.0); // a leftover is in the system's temporary directory
     }
 }
 
--- a/scale/src/soak/scenario.rs
+++ b/scale/src/soak/scenario.rs
@@ -11,7 +11,8 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Time without faults at the beginning, in which front ends start and serve some calls.
 const QUIET_START_S: f64 = 3.0;
-/// Time at the end in which no fault begins, so that the system can recover.
+/// Time at the end in which no fault begins, except for drains during an outage, so that the system can
+/// recover.
 const QUIET_END_S: f64 = 3.0;
 /// The longest client timeout is at least this multiple of the mean execution time.
 const MIN_TIMEOUT_PER_WORK: u64 = 12;
@@ -70,7 +71,7 @@
         /// Whether the crashed process is removed from the worker list.
         listed: bool,
     },
-    /// A worker stops reading and writing.
+    /// A worker stops executing commands and writing; it still reads and records commands.
     Hang {
         /// The worker.
         worker: usize,
--- a/scale/src/soak/violation_trace.rs
+++ b/scale/src/soak/violation_trace.rs
@@ -3,9 +3,9 @@
 use super::record::{Command, Event, Micros, Record};
 use std::fmt::Write;
 
-/// How long before a violation that concerns no single request records are shown.
+/// For a violation that concerns no single request: how long before it the shown records begin.
 const CONTEXT_BEFORE: Micros = 1_500_000;
-/// How long before a violation that concerns a request faults are shown.
+/// For a violation that concerns a request: how long before it the shown faults begin.
 const FAULT_CONTEXT_BEFORE: Micros = 8_000_000;
 const MAX_TRACE_LINES: usize = 60;
 
--- a/scale/src/soak/worker.rs
+++ b/scale/src/soak/worker.rs
@@ -48,7 +48,7 @@
     pub draining: bool,
     /// Whether it rejects all calls.
     pub rejecting: bool,
-    /// Whether it has stopped acting on commands and writing.
+    /// Whether it has stopped executing commands and writing.
     pub hung: bool,
     /// Number of resets of its idle connections so far.
     pub resets: u32,
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Loads a copy of a function if that is wanted and none is loaded; returns whether one is loaded now.
+    /// Loads a copy of a function if that is wanted and none is loaded; returns whether one is loaded now. A
+    /// worker has at most one copy of a function.
     async fn load(&self, function: u64, wanted: bool) -> bool {
         let process = self.status.borrow().process;
         let is_loaded = |insert: bool| {
--- a/scale/src/world/worker.rs
+++ b/scale/src/world/worker.rs
@@ -401,7 +401,7 @@
         self.workers[worker].inflight += 1;
         let started = wanted && self.request_load(now, worker, rank);
         if absent && !started {
-            // No memory for a load, and no copy to wait for.
+            // No room for a load, and no copy to wait for.
             if let Some((call, _)) = self.copies_at(now, worker, rank).queued.pop_back() {
                 self.workers[worker].inflight -= 1;
                 self.reply_to_call(now, worker, call, Outcome::Rejected);
--- a/scale/tests/common/mod.rs
+++ b/scale/tests/common/mod.rs
@@ -11,7 +11,7 @@
 }
 
 /// The failures of the sample experiment, starting one a second from 2 s on and lasting one second each.
-#[allow(dead_code)]
+#[allow(dead_code)] // only some of the test programs use it
 pub fn short_failures() -> Vec<Failure> {
     let mut failures = sample().failures;
     for (n, failure) in failures.iter_mut().enumerate() {
