--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -329,8 +329,8 @@
         let text = std::fs::read_to_string(path)
             .map_err(|source| ExperimentError::Unreadable { path: path.to_owned(), source })?;
         let mut experiment = Experiment::parse(path, text)?;
-        if let Some(folder) = path.parent() {
-            experiment.settings = folder.join(&experiment.settings);
+        if let Some(directory) = path.parent() {
+            experiment.settings = directory.join(&experiment.settings);
         }
         Ok(experiment)
     }
--- a/scale/src/node/usage.rs
+++ b/scale/src/node/usage.rs
@@ -33,8 +33,8 @@
         Usage::read(Path::new(&format!("/proc/{pid}")))
     }
 
-    fn read(folder: &Path) -> Self {
-        let text = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap_or_default();
+    fn read(directory: &Path) -> Self {
+        let text = |name: &str| std::fs::read_to_string(directory.join(name)).unwrap_or_default();
         let status = text("status");
         let megabytes = |key: &str| {
             let line = status.lines().find_map(|l| l.strip_prefix(key)).unwrap_or_default();
@@ -51,7 +51,7 @@
             cpu_s: (ticks(USER_TIME) + ticks(SYSTEM_TIME)) / TICKS_PER_SECOND,
             memory_mb: megabytes("VmRSS:"),
             peak_mb: megabytes("VmHWM:"),
-            descriptors: std::fs::read_dir(folder.join("fd")).map_or(0, Iterator::count),
+            descriptors: std::fs::read_dir(directory.join("fd")).map_or(0, Iterator::count),
         }
     }
 }
--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -85,7 +85,7 @@
     pub shim: PathBuf,
     /// Seeds of the scenarios.
     pub seeds: std::ops::RangeInclusive<u64>,
-    /// Folder in which records are stored, as one JSON object a line.
+    /// Directory in which records are stored, as one JSON object a line.
     pub out: Option<PathBuf>,
 }
 
@@ -131,8 +131,8 @@
     let mut violations = 0;
     for seed in options.seeds.clone() {
         let scenario = Scenario::draw(&options.config, seed);
-        let folder = TempDirectory::new(scenario.seed)?;
-        let run = Arc::new(Run::set_up(options, scenario, &folder).await?);
+        let directory = TempDirectory::new(scenario.seed)?;
+        let run = Arc::new(Run::set_up(options, scenario, &directory).await?);
         let report = tokio::select! {
             report = run.clone().execute(options) => report,
             () = crate::node::interrupted() => Err(SoakError::Interrupted),
@@ -222,7 +222,7 @@
     }
 
     async fn set_up(
-        options: &SoakOptions, scenario: Scenario, folder: &TempDirectory,
+        options: &SoakOptions, scenario: Scenario, directory: &TempDirectory,
     ) -> Result<Run, SoakError> {
         let recorder = Arc::new(Recorder::start());
         let worker_settings = Arc::new(worker::Settings {
@@ -244,7 +244,7 @@
         let discovery = DiscoveryServer::start(recorder.clone(), worker_addresses, scenario.seed).await?;
         let mut front_ends = Vec::new();
         for number in 0..scenario.front_ends {
-            front_ends.push(FrontEnd::new(number, &scenario, folder)?);
+            front_ends.push(FrontEnd::new(number, &scenario, directory)?);
         }
         let client_settings = Arc::new(clients::Settings {
             recorder: recorder.clone(),
@@ -540,8 +540,8 @@
 
     fn report(&self, options: &SoakOptions) -> Result<RunReport, SoakError> {
         let records = self.recorder.take_records();
-        if let Some(folder) = &options.out {
-            store(folder, self.scenario.seed, &records)?;
+        if let Some(directory) = &options.out {
+            store(directory, self.scenario.seed, &records)?;
         }
         let violations = check(&records, &self.rules());
         const MAX_TRACES: usize = 8;
@@ -586,15 +586,15 @@
 }
 
 impl FrontEnd {
-    fn new(number: usize, scenario: &Scenario, folder: &TempDirectory) -> io::Result<FrontEnd> {
+    fn new(number: usize, scenario: &Scenario, directory: &TempDirectory) -> io::Result<FrontEnd> {
         // Restarts keep the port, which no one else takes: the IP address belongs to this front end alone.
         let listen = std::net::TcpListener::bind((network::front_end(number), 0))?.local_addr()?;
-        let control_path = folder.0.join(format!("control-{number}"));
+        let control_path = directory.0.join(format!("control-{number}"));
         let control = ControlFile::create(&control_path, scenario.seed + number as u64)?;
         let front_end = FrontEnd {
             number,
             listen,
-            config: folder.0.join(format!("n{number}.json")),
+            config: directory.0.join(format!("n{number}.json")),
             control_path,
             control,
             log: LogTail::default(),
@@ -625,10 +625,10 @@
 }
 
 /// Writes the records of a run to `SEED.jsonl`.
-fn store(folder: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
-    std::fs::create_dir_all(folder)?;
+fn store(directory: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
+    std::fs::create_dir_all(directory)?;
     let lines: Result<Vec<String>, serde_json::Error> = records.iter().map(serde_json::to_string).collect();
-    std::fs::write(folder.join(format!("{seed}.jsonl")), lines?.join("\n") + "\n")
+    std::fs::write(directory.join(format!("{seed}.jsonl")), lines?.join("\n") + "\n")
 }
 
 fn count_responses(records: &[Record]) -> BTreeMap<String, usize> {
