--- a/scale/src/fleet/engine.rs
+++ b/scale/src/fleet/engine.rs
@@ -23,9 +23,9 @@
 const EPOCH: Micros = 1_000 * SECOND;
 /// How long the run continues after the last call, so that all calls end.
 const DRAIN_TIME: Micros = 10 * SECOND;
-/// Memory limit of a front end in MB, from which its program derives its limits.
+/// Memory limit of a front end in MB, from which its program derives its other limits.
 const MEMORY_LIMIT_MB: u64 = 192;
-/// Descriptor limit of a front end, from which its program derives its limits.
+/// Descriptor limit of a front end, from which its program derives its other limits.
 const DESCRIPTOR_LIMIT: u64 = 1_024;
 /// Width of the time buckets in which requests to the discovery server are counted.
 const BUCKET: Micros = 100_000;
@@ -96,7 +96,7 @@
     experiment: &'a Experiment,
     settings: Arc<Settings>,
     clock: VirtualClock,
-    random: Pcg64,
+    rng: Pcg64,
     shared: SharedContext,
     front_ends: Vec<FrontEnd>,
     subscriptions: Vec<Subscription>,
@@ -143,7 +143,7 @@
             schedule: Schedule::new(experiment),
             calls: CallStatistics::new(&settings, EPOCH, EPOCH + seconds(experiment.warm_up_s)),
             clock: VirtualClock::new(EPOCH, milliseconds(experiment.step_ms)),
-            random: Pcg64::seed_from_u64(experiment.seed ^ ENGINE_SEED),
+            rng: Pcg64::seed_from_u64(experiment.seed ^ ENGINE_SEED),
             propagations: BTreeMap::new(),
             propagation_times: DurationHistogram::default(),
             discovery: DiscoveryLoad::default(),
@@ -282,7 +282,7 @@
         let [min, max] = self.experiment.discovery.delay_ms;
         let mut pending = 0;
         for n in 0..self.front_ends.len() {
-            let delay = milliseconds(min + (max - min) * self.random.random::<f64>());
+            let delay = milliseconds(min + (max - min) * self.rng.random::<f64>());
             let subscription = &mut self.subscriptions[n];
             if subscription.cut_at.is_some() || !self.front_ends[n].is_up() {
                 continue;
@@ -364,14 +364,11 @@
     fn reconnect_time(&mut self, n: usize, cut_at: Micros, restored_at: Micros) -> Micros {
         let limits = Limits::new(MEMORY_LIMIT_MB, DESCRIPTOR_LIMIT, &self.settings);
         let micros = |span: std::time::Duration| span.as_micros() as Micros;
-        let mut backoff = Backoff::new(
-            limits.discovery_initial_backoff,
-            limits.discovery_max_backoff,
-            self.random.random(),
-        );
+        let mut backoff =
+            Backoff::new(limits.discovery_initial_backoff, limits.discovery_max_backoff, self.rng.random());
         let request_timeout = micros(limits.connect_timeout.min(limits.discovery_silence_timeout / 2));
         // The cut begins at a random time between two of the discovery server's comments.
-        let mut at = cut_at + micros(limits.discovery_silence_timeout) - self.random.random_range(0..SECOND);
+        let mut at = cut_at + micros(limits.discovery_silence_timeout) - self.rng.random_range(0..SECOND);
         while at < restored_at {
             self.failed_requests += 1;
             // A request that is open when the cut ends times out too: its first packet is lost, and it ends
@@ -381,8 +378,8 @@
         at + 2 * self.latency(n, 0)
     }
 
-    /// Counts the front ends connected to each worker: those that sent it a command within the idle timeout
-    /// of connections.
+    /// Counts the front ends connected to each worker: those that sent it a command within the time after which
+    /// their program closes an idle connection, four fifths of the configured idle timeout.
     fn count_connections(&mut self) {
         let idle = self.settings.connection_idle_timeout;
         let since = self.clock.now().saturating_sub(idle - idle / 5);
