--- a/scale/src/soak/run.rs
+++ b/scale/src/soak/run.rs
@@ -5,7 +5,7 @@
 use super::config::{ConfigError, SoakConfig};
 use super::discovery_server::{Change, DiscoveryServer};
 use super::network;
-use super::process::{LaunchOptions, LogTail, Process};
+use super::process::{FrontEndProcess, LaunchOptions, LogTail};
 use super::record::{Command, Event, Outage, Record, Recorder, Response, Signal, WorkerState};
 use super::scenario::{Fault, Scenario};
 use super::violation_trace::violation_trace;
@@ -26,9 +26,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Time from SIGTERM to SIGKILL, in addition to the longest client timeout.
+/// SIGKILL follows SIGTERM after the longest client timeout, or [`MAX_TIMEOUT_BEFORE_KILL`] if that is shorter,
+/// plus this time: the earliest time that the rules allow.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Upper bound of the client timeout in the time from SIGTERM to SIGKILL.
+/// Client timeouts beyond this do not delay SIGKILL further.
 const MAX_TIMEOUT_BEFORE_KILL: Duration = Duration::from_secs(3);
 /// How long clients go on opening connections after SIGTERM.
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
@@ -36,6 +37,7 @@
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time at the end for pending requests to complete, in addition to the longest client timeout.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(900);
+// Limits and settings of the front ends; the checker judges by the same values.
 const MAX_DESCRIPTORS: u64 = 512;
 const MAX_MEMORY_MB: f64 = 96.0;
 const DEDUP_WINDOW_MS: u64 = 1_500;
@@ -45,8 +47,12 @@
 const COLD_CAPACITY: f64 = 0.2;
 const DRAIN_GRACE_MS: u64 = 1_000;
 const MAX_ATTEMPTS: usize = 3;
+/// The classes of requests: safe to retry, deduplicated, and unsafe to retry.
 const CLASSES: [&str; 3] = ["lookup", "confirm", "once"];
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
+/// Spreads the seeds of runs, so that front ends of different runs get different seeds: 2^64 divided by the
+/// golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Why a soak cannot be run.
 #[derive(Debug, thiserror::Error)]
@@ -79,7 +85,7 @@
     pub shim: PathBuf,
     /// Seeds of the scenarios.
     pub seeds: std::ops::RangeInclusive<u64>,
-    /// Folder in which records are stored, as one JSON object a line.
+    /// Directory in which records are stored, as one JSON object a line.
     pub out: Option<PathBuf>,
 }
 
@@ -125,8 +131,8 @@
     let mut violations = 0;
     for seed in options.seeds.clone() {
         let scenario = Scenario::draw(&options.config, seed);
-        let folder = TempFolder::new(scenario.seed)?;
-        let run = Arc::new(Run::set_up(options, scenario, &folder).await?);
+        let directory = TempDirectory::new(scenario.seed)?;
+        let run = Arc::new(Run::set_up(options, scenario, &directory).await?);
         let report = tokio::select! {
             report = run.clone().execute(options) => report,
             () = crate::node::interrupted() => Err(SoakError::Interrupted),
@@ -140,20 +146,20 @@
     Ok(violations)
 }
 
-/// The folder for the configurations and control files of a run, removed when dropped.
-struct TempFolder(PathBuf);
+/// A temporary directory for the configurations and control files of a run, removed when dropped.
+struct TempDirectory(PathBuf);
 
-impl TempFolder {
-    fn new(seed: u64) -> io::Result<TempFolder> {
+impl TempDirectory {
+    fn new(seed: u64) -> io::Result<TempDirectory> {
         let path = std::env::temp_dir().join(format!("heronslip-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(TempFolder(path))
+        Ok(TempDirectory(path))
     }
 }
 
-impl Drop for TempFolder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // files that remain are in the system's temporary folder
+        let _ = std::fs::remove_dir_all(&self.0); // a leftover is in the system's temporary directory
     }
 }
 
@@ -166,7 +172,7 @@
     control: ControlFile,
     log: LogTail,
     connect_gate: Arc<ConnectGate>,
-    process: tokio::sync::Mutex<Option<Process>>,
+    process: tokio::sync::Mutex<Option<FrontEndProcess>>,
     wall_clock_offset_s: Mutex<i64>,
 }
 
@@ -216,7 +222,7 @@
     }
 
     async fn set_up(
-        options: &SoakOptions, scenario: Scenario, folder: &TempFolder,
+        options: &SoakOptions, scenario: Scenario, directory: &TempDirectory,
     ) -> Result<Run, SoakError> {
         let recorder = Arc::new(Recorder::start());
         let worker_settings = Arc::new(worker::Settings {
@@ -238,7 +244,7 @@
         let discovery = DiscoveryServer::start(recorder.clone(), worker_addresses, scenario.seed).await?;
         let mut front_ends = Vec::new();
         for number in 0..scenario.front_ends {
-            front_ends.push(FrontEnd::new(number, &scenario, folder)?);
+            front_ends.push(FrontEnd::new(number, &scenario, directory)?);
         }
         let client_settings = Arc::new(clients::Settings {
             recorder: recorder.clone(),
@@ -307,10 +313,10 @@
             .discovery
             .address(number)
             .ok_or_else(|| io::Error::other(format!("no discovery server address for front end {number}")))?;
-        let (version, known) = self.discovery.known(number);
-        let seed = self.scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.recorder.now();
+        let (version, configured_list) = self.discovery.configured_list(number);
+        let seed = self.scenario.seed.wrapping_mul(SEED_MULTIPLIER) ^ self.recorder.now();
         let text = format!(
-            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},"board":"{discovery_address}","known":{known},"settings":{}}}"#,
+            r#"{{"name":"n{number}","listen":"{}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},"board":"{discovery_address}","known":{configured_list},"settings":{}}}"#,
             front_end.listen,
             self.settings(number)
         );
@@ -333,7 +339,7 @@
                 (CONTROL_VARIABLE.to_owned(), front_end.control_path.display().to_string()),
             ],
         };
-        *front_end.process.lock().await = Some(Process::start(options, &front_end.log)?);
+        *front_end.process.lock().await = Some(FrontEndProcess::start(options, &front_end.log)?);
         Ok(())
     }
 
@@ -476,7 +482,7 @@
         self.publish(worker, process, WorkerState::Ready, true);
     }
 
-    fn signal(&self, front_end: &FrontEnd, process: Option<&Process>, signal: Signal) {
+    fn signal(&self, front_end: &FrontEnd, process: Option<&FrontEndProcess>, signal: Signal) {
         let Some(process) = process else { return };
         self.recorder.record(Event::SignalSent { front_end: front_end.number, signal });
         process.signal(match signal {
@@ -534,8 +540,8 @@
 
     fn report(&self, options: &SoakOptions) -> Result<RunReport, SoakError> {
         let records = self.recorder.take_records();
-        if let Some(folder) = &options.out {
-            store(folder, self.scenario.seed, &records)?;
+        if let Some(directory) = &options.out {
+            store(directory, self.scenario.seed, &records)?;
         }
         let violations = check(&records, &self.rules());
         const MAX_TRACES: usize = 8;
@@ -580,15 +586,15 @@
 }
 
 impl FrontEnd {
-    fn new(number: usize, scenario: &Scenario, folder: &TempFolder) -> io::Result<FrontEnd> {
+    fn new(number: usize, scenario: &Scenario, directory: &TempDirectory) -> io::Result<FrontEnd> {
         // Restarts keep the port, which no one else takes: the IP address belongs to this front end alone.
         let listen = std::net::TcpListener::bind((network::front_end(number), 0))?.local_addr()?;
-        let control_path = folder.0.join(format!("control-{number}"));
+        let control_path = directory.0.join(format!("control-{number}"));
         let control = ControlFile::create(&control_path, scenario.seed + number as u64)?;
         let front_end = FrontEnd {
             number,
             listen,
-            config: folder.0.join(format!("n{number}.json")),
+            config: directory.0.join(format!("n{number}.json")),
             control_path,
             control,
             log: LogTail::default(),
@@ -619,10 +625,10 @@
 }
 
 /// Writes the records of a run to `SEED.jsonl`.
-fn store(folder: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
-    std::fs::create_dir_all(folder)?;
+fn store(directory: &Path, seed: u64, records: &[Record]) -> io::Result<()> {
+    std::fs::create_dir_all(directory)?;
     let lines: Result<Vec<String>, serde_json::Error> = records.iter().map(serde_json::to_string).collect();
-    std::fs::write(folder.join(format!("{seed}.jsonl")), lines?.join("\n") + "\n")
+    std::fs::write(directory.join(format!("{seed}.jsonl")), lines?.join("\n") + "\n")
 }
 
 fn count_responses(records: &[Record]) -> BTreeMap<String, usize> {
--- a/src/readiness.rs
+++ b/src/readiness.rs
@@ -10,19 +10,19 @@
 use crate::interface::{Action, DiscoveryState, Event, Micros, Outcome, RequestId};
 use crate::state::Controller;
 
-/// Most of the grace that is left for the time from a decision to its first byte on the wire, in
-/// microseconds.
+/// Part of the grace that is kept for the time from a decision to its first byte on the wire, in
+/// microseconds; at most a quarter of the grace.
 const LEASE_MARGIN: Micros = 100 * MS;
 /// A lease that ends sooner than this is not used, in microseconds: what is sent under it would be late.
 const MIN_LEASE_LEFT: Micros = 20 * MS;
 /// A request waits this long for the probe of one worker before another worker is probed for it, in
 /// microseconds: several round trips.
 const PROBE_WAIT: Micros = 60 * MS;
-/// First pause before a worker is probed again that accepted no work or did not reply, in microseconds;
+/// First suspension of a worker that accepted no work, or did not reply, when it was probed, in microseconds;
 /// doubled each time.
-const MIN_PROBE_PAUSE: Micros = 200 * MS;
-/// Longest such pause, in microseconds.
-const MAX_PROBE_PAUSE: Micros = 5_000 * MS;
+const MIN_SUSPENSION: Micros = 200 * MS;
+/// Longest suspension, in microseconds.
+const MAX_SUSPENSION: Micros = 5_000 * MS;
 
 /// What is known of discovery.
 #[derive(Default)]
@@ -44,8 +44,8 @@
     probe_sent_at: Option<Micros>,
     /// While discovery is lost, nothing is sent to the worker before this.
     suspended_until: Micros,
-    /// Length of the last suspension.
-    pause: Micros,
+    /// Length of the last suspension; 0 once a probe has succeeded.
+    suspension: Micros,
 }
 
 impl Lease {
@@ -72,8 +72,8 @@
     }
 
     fn suspend(&mut self, now: Micros) {
-        self.pause = (2 * self.pause).clamp(MIN_PROBE_PAUSE, MAX_PROBE_PAUSE);
-        self.suspended_until = now + self.pause;
+        self.suspension = (2 * self.suspension).clamp(MIN_SUSPENSION, MAX_SUSPENSION);
+        self.suspended_until = now + self.suspension;
     }
 }
 
@@ -106,16 +106,16 @@
         self.discovery.lost
     }
 
-    /// Until when something new may be sent to a worker, as far as is known now; `None` while discovery is
-    /// current.
+    /// Until when something new may be sent to a worker, as far as is known now: 0 if the worker has rejected
+    /// work since it last accepted some, and `None` while discovery is current.
     pub(crate) fn lease_end(&self, worker_slot: usize) -> Option<Micros> {
         let grace = self.settings.drain_grace;
         let duration = grace - LEASE_MARGIN.min(grace / 4);
         self.discovery.lost.then(|| self.workers[worker_slot].lease.end(duration))
     }
 
-    /// Until when something new may be sent to a worker, for the code that carries out actions. `None` while
-    /// discovery is current or if the worker is unknown.
+    /// Until when something new may be sent to a worker, for the code that carries out actions. A time in the
+    /// past if nothing may be sent; `None` while discovery is current or if the worker is unknown.
     pub fn worker_lease_end(&self, worker: &str) -> Option<Micros> {
         self.worker_slots.get(worker).and_then(|&worker_slot| self.lease_end(worker_slot))
     }
@@ -125,7 +125,7 @@
         self.lease_end(worker_slot).is_none_or(|end| now + MIN_LEASE_LEFT < end)
     }
 
-    /// Whether a worker is not chosen because it accepted no work when it was last probed.
+    /// Whether a worker is not chosen because it accepted no work, or did not reply, when it was last probed.
     pub(crate) fn suspended(&self, worker_slot: usize, now: Micros) -> bool {
         self.discovery.lost && now < self.workers[worker_slot].lease.suspended_until
     }
@@ -197,7 +197,7 @@
         if outcome == Outcome::Ok {
             self.confirm_ready(worker_slot, sent_at);
             let lease = &mut self.workers[worker_slot].lease;
-            (lease.pause, lease.suspended_until) = (0, 0);
+            (lease.suspension, lease.suspended_until) = (0, 0);
         } else {
             let lease = &mut self.workers[worker_slot].lease;
             lease.refute(sent_at);
