--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -202,7 +202,7 @@
                 inflight: object(fields, "feedback").and_then(|feedback| number(feedback, "busy_reqs")),
             }
         }
-        "WITHDRAWN" => Event::Withdrawn { id: require_unsigned(fields, "id")? },
+        "WITHDRAWN" => Event::RequestCancelled { id: require_unsigned(fields, "id")? },
         "ALARM" => Event::Timer { token: require_unsigned(fields, "ctx")? },
         "WARMED" => Event::Loaded {
             worker: require_string(fields, "host")?.to_owned(),
--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -283,7 +283,7 @@
 
     fn cancel_request(&mut self, id: u64) {
         if self.close_request(id).is_some() {
-            self.events.push_back(Event::Withdrawn { id });
+            self.events.push_back(Event::RequestCancelled { id });
             self.run_controller();
             self.remove_if_finished(id);
         }
--- a/scale/src/fleet/front_end.rs
+++ b/scale/src/fleet/front_end.rs
@@ -347,7 +347,7 @@
                     request.closed = true;
                     let call = record(request, self.now, CallOutcome::Failed, None);
                     self.output.ended_calls.push(call);
-                    self.run_controller(Event::Withdrawn { id });
+                    self.run_controller(Event::RequestCancelled { id });
                 }
             }
         }
--- a/src/control.rs
+++ b/src/control.rs
@@ -97,7 +97,7 @@
             Event::Request { id, .. } if self.requests.contains_key(&id) => {}
             Event::Request { .. } => self.on_request(now, event, out),
             Event::Outcome { .. } => self.on_outcome(now, event, out),
-            Event::Withdrawn { id } => self.close_request(id, out),
+            Event::RequestCancelled { id } => self.close_request(id, out),
             Event::Timer { token: PERIODIC_TIMER } => {
                 self.on_tick(now, out);
                 let delay = if self.requests.is_empty() { STATS_PERIOD } else { TICK };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -246,7 +246,7 @@
         inflight: Option<f64>,
     },
     /// The client cancelled the request or disconnected; no response is due.
-    Withdrawn {
+    RequestCancelled {
         /// The request.
         id: RequestId,
     },
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -150,7 +150,7 @@
     harness.outcome(99, 0, Outcome::Ok, 1);
     harness.loaded("nobody", 5, 3, Outcome::Ok);
     harness.loaded("w0", 5, 3, Outcome::Ok);
-    assert!(harness.feed(Event::Withdrawn { id: 4 }).is_empty());
+    assert!(harness.feed(Event::RequestCancelled { id: 4 }).is_empty());
     assert!(harness.feed(Event::Timer { token: u64::MAX }).is_empty());
     harness.feed(Event::Request {
         id: u64::MAX,
@@ -216,7 +216,7 @@
         }
         let fails = id % 3 == 0;
         if fails {
-            harness.feed(Event::Withdrawn { id }); // otherwise another worker would load it
+            harness.feed(Event::RequestCancelled { id }); // otherwise another worker would load it
         }
         for worker in loads(&out, 1) {
             harness.loaded(&worker, id, u32::from(!fails), if fails { Outcome::Error } else { Outcome::Ok });
--- a/tests/inside/controller.rs
+++ b/tests/inside/controller.rs
@@ -72,7 +72,7 @@
                 controller.handle(n * 1_000_000 + 2_000, end, &mut out);
             }
         }
-        controller.handle(n * 1_000_000 + 990_000, Event::Withdrawn { id }, &mut Vec::new());
+        controller.handle(n * 1_000_000 + 990_000, Event::RequestCancelled { id }, &mut Vec::new());
     }
     assert!(
         controller.workers.len() < 10 && controller.worker_slots.len() < 10,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -99,7 +99,7 @@
                 attempt_record.may_have_run = !did_not_run.contains(outcome);
                 record.client_finished |= closed;
             }
-            Event::Withdrawn { id } => self.requests.get_mut(id).unwrap().client_finished = true,
+            Event::RequestCancelled { id } => self.requests.get_mut(id).unwrap().client_finished = true,
             _ => {}
         }
     }
@@ -202,7 +202,7 @@
         due.insert((at, serial), request);
         if random_below(15) == 0 {
             serial += 1;
-            due.insert((at + random_below(1 + timeout), serial), Event::Withdrawn { id });
+            due.insert((at + random_below(1 + timeout), serial), Event::RequestCancelled { id });
         }
         if random_below(10) == 0 {
             use WorkerState::*;
@@ -223,7 +223,7 @@
                 finished.insert(*id);
             }
         }
-        if matches!(&event, Event::Withdrawn { id } if !finished.insert(*id)) {
+        if matches!(&event, Event::RequestCancelled { id } if !finished.insert(*id)) {
             continue;
         }
         checker.on_event(now, &event);
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -172,7 +172,7 @@
     let mut harness = without_discovery(1);
     harness.request(2, SAFE, 7);
     harness.outcome(2, 0, Outcome::ConnectFailed, MS);
-    harness.feed(Event::Withdrawn { id: 2 });
+    harness.feed(Event::RequestCancelled { id: 2 });
     harness.now += 2 * GRACE;
     let (mut sent, mut id) = (0, 10);
     let end = harness.now + 3 * SEC;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -339,7 +339,7 @@
         lost += usize::from(unhealthy(&worker));
         let outcome = if unhealthy(&worker) { Outcome::Timeout } else { Outcome::Ok };
         complete(&mut harness, id, outcome, if unhealthy(&worker) { 900 * MS } else { 50 * MS }, Some(1.0));
-        harness.feed(Event::Withdrawn { id });
+        harness.feed(Event::RequestCancelled { id });
         harness.advance(SEC / 8);
     }
     // Fifty seconds with eight calls each: three suspects share the trial requests.
