--- a/heronslip/src/config.rs
+++ b/heronslip/src/config.rs
@@ -181,8 +181,8 @@
         let fields = read_object(path)?;
         let endpoints = match string(&fields, "endpoints") {
             Some(relative_path) => {
-                let folder = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
-                Some(read_object(&folder.join(relative_path).to_string_lossy())?)
+                let directory = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
+                Some(read_object(&directory.join(relative_path).to_string_lossy())?)
             }
             None => None,
         };
--- a/heronslip/src/server/kserve.rs
+++ b/heronslip/src/server/kserve.rs
@@ -104,7 +104,7 @@
     });
 }
 
-type Handler = fn(&Reader<'_>, u64, &Head, Vec<u8>) -> Reply;
+type Handler = fn(&Reader<'_>, u64, &Head, Vec<u8>) -> HandlerResult;
 
 fn serve_http(
     stream: Socket, context: &ServerContext, permit: ConnectionPermit, server: &'static str, handler: Handler,
@@ -127,16 +127,16 @@
     connection.outbox.close();
 }
 
-/// What a handler does with a request.
-enum Reply {
+/// How a handler has dealt with a request.
+enum HandlerResult {
     /// The core responds later.
-    FromCore,
-    /// Responds at once with this status and body.
+    Pending,
+    /// The response is sent at once, with this status and body.
     Immediate(&'static str, Vec<u8>),
 }
 
-fn error_reply(status: &'static str, message: &str) -> Reply {
-    Reply::Immediate(status, error_body(message))
+fn error_result(status: &'static str, message: &str) -> HandlerResult {
+    HandlerResult::Immediate(status, error_body(message))
 }
 
 struct Reader<'a> {
@@ -217,7 +217,7 @@
                     }
                     tag += 1;
                     self.handle_request(tag, &head, body)?;
-                    partial_request = None; // only now: the core counts the request from here on
+                    partial_request = None; // only now: the request passed to the core has its own guard
                     if head.close {
                         return self.discard_until_closed(&mut ring, &mut stream);
                     }
@@ -254,7 +254,7 @@
             }
             slots.push_back(ResponseSlot { tag, close: head.close, bytes: None });
         }
-        if let Reply::Immediate(status, body) = (self.handler)(self, tag, head, body) {
+        if let HandlerResult::Immediate(status, body) = (self.handler)(self, tag, head, body) {
             self.connection.activity.answered_directly();
             let headers = if status.starts_with("503") { "Retry-After: 1\r\n" } else { "" };
             self.connection.fill_slot(tag, |close| response(status, headers, &body, close));
@@ -266,7 +266,7 @@
         self.context.shared.ready.load(Ordering::Acquire)
     }
 
-    fn handle_kserve(&self, tag: u64, head: &Head, body: Vec<u8>) -> Reply {
+    fn handle_kserve(&self, tag: u64, head: &Head, body: Vec<u8>) -> HandlerResult {
         let path = head.target.split('?').next().unwrap_or_default();
         let mut segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         // A path may name a version. Each model has only one, so it is ignored.
@@ -276,7 +276,7 @@
         let method = head.method.as_str();
         let health = |name: &str, healthy: bool| {
             let status = if healthy { "200 OK" } else { "503 Service Unavailable" };
-            Reply::Immediate(status, format!("{{\"{name}\":{healthy}}}").into_bytes())
+            HandlerResult::Immediate(status, format!("{{\"{name}\":{healthy}}}").into_bytes())
         };
         match (method, &segments[..]) {
             ("GET", ["v2", "health", "live"]) => health("live", true),
@@ -287,37 +287,37 @@
                     env!("CARGO_PKG_VERSION"),
                     r#"","extensions":[]}"#
                 );
-                Reply::Immediate("200 OK", text.as_bytes().to_vec())
+                HandlerResult::Immediate("200 OK", text.as_bytes().to_vec())
             }
             (_, ["v2", "models", name, ..]) if parse_id(name).is_none() => {
-                error_reply("404 Not Found", "unknown model: a name is 16 hex digits")
+                error_result("404 Not Found", "unknown model: a name is 16 hex digits")
             }
             ("GET", ["v2", "models", name, "ready"]) => {
                 let ready = self.ready();
                 let status = if ready { "200 OK" } else { "503 Service Unavailable" };
                 let body = format!("{{\"name\":\"{name}\",\"ready\":{ready}}}");
-                Reply::Immediate(status, body.into_bytes())
+                HandlerResult::Immediate(status, body.into_bytes())
             }
             ("GET", ["v2", "models", name]) => {
                 let tensor = r#"[{"name":"body","datatype":"BYTES","shape":[1]}]"#;
                 let text = format!(
                     "{{\"name\":\"{name}\",\"versions\":[\"1\"],\"platform\":\"heronslip\",\"inputs\":{tensor},\"outputs\":{tensor}}}"
                 );
-                Reply::Immediate("200 OK", text.into_bytes())
+                HandlerResult::Immediate("200 OK", text.into_bytes())
             }
             ("POST", ["v2", "models", name, "infer"]) => self.infer(tag, name, body),
             (_, ["v2", "models", _, "infer" | "ready"]) | (_, ["v2", "health", _]) => {
-                error_reply("405 Method Not Allowed", "method")
+                error_result("405 Method Not Allowed", "method")
             }
-            _ => error_reply("404 Not Found", "no such resource"),
+            _ => error_result("404 Not Found", "no such resource"),
         }
     }
 
-    fn infer(&self, tag: u64, name: &str, body: Vec<u8>) -> Reply {
+    fn infer(&self, tag: u64, name: &str, body: Vec<u8>) -> HandlerResult {
         let received_at = Instant::now();
         let Some(reservation) = self.context.memory_budget.reserve(body.len()) else {
             log_limited!("kserve: request refused: the memory budget for requests is exhausted");
-            return error_reply("503 Service Unavailable", "too many bytes are held");
+            return error_result("503 Service Unavailable", "too many bytes are held");
         };
         match parse_request(name, body, &self.context.limits) {
             Ok(request) => {
@@ -326,30 +326,34 @@
                 self.connection.activity.request_opened();
                 let client = self.connection.clone();
                 let _ = self.context.core.send(Message::Request { request, client, tag });
-                Reply::FromCore
+                HandlerResult::Pending
             }
             Err(reason) => {
                 log_limited!("kserve: request failed: {reason}");
-                error_reply("400 Bad Request", reason)
+                error_result("400 Bad Request", reason)
             }
         }
     }
 
-    fn handle_admin(&self, _tag: u64, head: &Head, _body: Vec<u8>) -> Reply {
+    fn handle_admin(&self, _tag: u64, head: &Head, _body: Vec<u8>) -> HandlerResult {
         let path = head.target.split('?').next().unwrap_or_default();
         match (head.method.as_str(), path) {
-            ("GET", "/healthz") if self.ready() => Reply::Immediate("200 OK", b"{\"ready\":true}".to_vec()),
-            ("GET", "/healthz") => Reply::Immediate("503 Service Unavailable", b"{\"ready\":false}".to_vec()),
+            ("GET", "/healthz") if self.ready() => {
+                HandlerResult::Immediate("200 OK", b"{\"ready\":true}".to_vec())
+            }
+            ("GET", "/healthz") => {
+                HandlerResult::Immediate("503 Service Unavailable", b"{\"ready\":false}".to_vec())
+            }
             ("GET", "/v1/state") => {
                 let (reply, state) = may::sync::mpsc::channel();
                 let _ = self.context.core.send(Message::Inspect { reply });
                 match state.recv() {
-                    Ok(state) => Reply::Immediate("200 OK", state.into_bytes()),
-                    Err(_) => error_reply("503 Service Unavailable", "the core is ending"),
+                    Ok(state) => HandlerResult::Immediate("200 OK", state.into_bytes()),
+                    Err(_) => error_result("503 Service Unavailable", "the core is ending"),
                 }
             }
-            ("GET", _) => error_reply("404 Not Found", "there are /healthz and /v1/state"),
-            _ => error_reply("405 Method Not Allowed", "this API is read-only"),
+            ("GET", _) => error_result("404 Not Found", "there are /healthz and /v1/state"),
+            _ => error_result("405 Method Not Allowed", "this API is read-only"),
         }
     }
 }
--- a/heronslip/src/server/mod.rs
+++ b/heronslip/src/server/mod.rs
@@ -16,9 +16,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a new connection tries to get a permit at the limit on client connections.
-const MAX_PERMIT_TRIES: usize = 20;
-/// Delay between these tries, in which the connections that were told to close can do so.
+/// Maximum retries to get a permit for a new connection at the limit on client connections.
+const MAX_PERMIT_RETRIES: usize = 20;
+/// Delay before each of these retries, in which the connections that were told to close can do so.
 const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(1);
 /// Delay before accepting again when descriptors or memory are exhausted.
 const EXHAUSTED_DELAY: Duration = Duration::from_millis(10);
@@ -40,7 +40,7 @@
     pub connection_limiter: ConnectionLimiter,
     /// Bytes of responses that are not yet written.
     pub unsent_bytes: Arc<AtomicUsize>,
-    /// Requests that have been read in part, or that the core has not accepted yet.
+    /// Requests that have been read in part, or that the core has not accepted or answered yet.
     pub incoming_requests: Arc<AtomicUsize>,
     /// The core's state.
     pub shared: Arc<SharedState>,
@@ -62,6 +62,7 @@
     pub listener: Arc<TcpListener>,
     /// Whether the coroutine waits for the next connection.
     waiting: Arc<AtomicBool>,
+    /// Whether [`Acceptor::close`] was called.
     closed: Arc<AtomicBool>,
 }
 
@@ -142,7 +143,7 @@
 /// Acquires a permit, if necessary by closing idle connections.
 fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
     let mut permit = context.connection_limiter.acquire();
-    for _ in 0..MAX_PERMIT_TRIES {
+    for _ in 0..MAX_PERMIT_RETRIES {
         if permit.is_some() || !context.connection_limiter.close_idle() {
             break;
         }
--- a/heronslip/tests/client_disconnects.rs
+++ b/heronslip/tests/client_disconnects.rs
@@ -15,6 +15,13 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
+// Codes of the platform's frames.
+const CODE_CALL: u8 = 2;
+const CODE_CANCEL: u8 = 3;
+const CODE_LOAD: u8 = 6;
+const CODE_UNLOAD: u8 = 8;
+const CODE_OK: u8 = 200;
+
 /// A call is cancelled while its connection is being established: it must not be written once that is open.
 #[test]
 fn a_call_cancelled_while_connecting_is_not_written() {
@@ -52,7 +59,7 @@
     for mut stream in accepted {
         let mut got = Vec::new();
         stream.read_to_end(&mut got).expect("closed");
-        assert!(got.is_empty() || got[1] == 8, "more than the unload command: {got:?}");
+        assert!(got.is_empty() || got[1] == CODE_UNLOAD, "more than the unload command: {got:?}");
     }
 }
 
@@ -75,7 +82,7 @@
     drop(client);
     while !in_flight.is_empty() {
         let command = worker.command();
-        assert!(command.code == 3 && in_flight.remove(&command.id), "code {}", command.code);
+        assert!(command.code == CODE_CANCEL && in_flight.remove(&command.id), "code {}", command.code);
     }
     program.wait_for_state(r#""open_requests":0"#);
 }
@@ -93,23 +100,25 @@
     stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     let load = loop {
         let command = CommandFrame::read(&mut stream).expect("a command");
-        assert_eq!(command.code, 6, "a call before the copy is loaded");
+        assert_eq!(command.code, CODE_LOAD, "a call before the copy is loaded");
         if command.field("slots_up") != "0" {
             break command;
         }
-        stream.write_all(&reply_frame(200, command.id, "slots_up=0", &[])).expect("written");
+        stream.write_all(&reply_frame(CODE_OK, command.id, "slots_up=0", &[])).expect("written");
     };
     drop(client);
     program.wait_for_state(r#""open_requests":0"#);
-    stream.write_all(&reply_frame(200, load.id, "slots_up=1", &[])).expect("written");
+    stream.write_all(&reply_frame(CODE_OK, load.id, "slots_up=1", &[])).expect("written");
     let mut other = connect(program.fastcgi);
     other.write_all(&fastcgi_call(1, "00000000000000a2", "60000", "other")).expect("written");
     let first = loop {
         let command = CommandFrame::read(&mut stream).expect("a command");
         match command.code {
-            6 => stream.write_all(&reply_frame(200, command.id, "slots_up=1", &[])).expect("written"),
+            CODE_LOAD => {
+                stream.write_all(&reply_frame(CODE_OK, command.id, "slots_up=1", &[])).expect("written")
+            }
             _ => break command,
         }
     };
-    assert_eq!((first.code, &first.body[..]), (2, &b"other"[..]));
+    assert_eq!((first.code, &first.body[..]), (CODE_CALL, &b"other"[..]));
 }
