--- a/heronslip/src/core/mod.rs
+++ b/heronslip/src/core/mod.rs
@@ -29,13 +29,14 @@
 
 /// How often idle worker connections and removed workers are cleaned up.
 const SWEEP_INTERVAL: Micros = 1_000_000;
-/// Further messages that are handled before the timers are looked at.
+/// Maximum number of queued messages that are handled after the first before due timers get their turn.
 const MAX_MESSAGES_BEFORE_TIMERS: usize = 256;
 /// When the limit on worker connections is reached, this fraction (1/32) of the limit is closed at a time.
 const IDLE_EVICTION_DIVISOR: usize = 32;
 /// Changed workers that are logged one by one for each list update; only the number of the others is logged.
 const MAX_LOGGED_WORKERS: usize = 16;
-/// Timers that fire later than this are logged: it can exceed the time reserved for sending a response.
+/// Timers that fire later than this are logged: such a delay can exceed the time reserved for sending a
+/// response.
 const LATE_TIMER_LOG_THRESHOLD: Micros = 20_000;
 
 /// State of the core that other threads may read directly.
@@ -106,11 +107,11 @@
     inbox: Receiver<Message>,
     reports: ReportSender,
     shared: Arc<SharedState>,
-    /// Last number given to a request, load command or probe.
+    /// Last id given to a request, load command, copy query or probe.
     last_id: u64,
     last_liveness_check: Micros,
     requests: HashMap<u64, OpenRequest>,
-    /// Ids of unanswered requests by client connection and tag.
+    /// Core ids of unanswered requests by client connection and tag.
     requests_by_client: BTreeMap<(u64, u64), u64>,
     /// Wire ids of unanswered requests.
     open_wire_ids: HashSet<u64>,
@@ -230,7 +231,7 @@
             () if is_deduplicated && request.idempotency_key.is_none() => {
                 Some("its class requires an idempotency key, and it has none")
             }
-            // Two open requests with one id could not be told apart at a worker.
+            // A worker could not tell apart two open requests with the same id.
             () if self.open_wire_ids.contains(&request.wire_id) => {
                 Some("another request with this id is still open")
             }
@@ -621,7 +622,8 @@
             machine_type: position(&self.settings.machine_types, &listing.machine_type),
             cell: listing.cell,
         };
-        // A worker that moves gets a new transport: exchanges open at its former address end there.
+        // A worker that moves gets a new transport, as a new worker may take over its former address.
+        // Exchanges that are open at the former address end there.
         let is_same_endpoint =
             |w: &&mut Worker| w.listing.address == listing.address && w.listing.protocol == listing.protocol;
         match known.filter(is_same_endpoint) {
--- a/heronslip/src/core/start_times.rs
+++ b/heronslip/src/core/start_times.rs
@@ -4,7 +4,7 @@
 //! no known relation to the core's clock, and either machine's wall clock may be stepped. So only the
 //! differences between the timestamps of one update are used: the worker with the latest timestamp counts as
 //! started when the update arrived, the others earlier by their difference to it. No worker counts as older
-//! than the list states, and each still counts as warm in time, whatever the wall clocks show.
+//! than the list states, and each slow start ends in time, whatever the wall clocks show.
 use crate::messages::ListedWorker;
 use heronslip_policy::Micros;
 
--- a/heronslip/src/core/timers.rs
+++ b/heronslip/src/core/timers.rs
@@ -6,6 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
+/// Longest wait for the next timer, also if none is scheduled.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
 /// What a timer is for.
--- a/heronslip/src/core/worker_pool.rs
+++ b/heronslip/src/core/worker_pool.rs
@@ -62,7 +62,7 @@
     workers: BTreeMap<String, Worker>,
     /// Workers that something was sent to and that were not seen without a connection since.
     connected: BTreeSet<String>,
-    /// Connections at the last count, plus those opened and less those closed since.
+    /// Connections at the last recount, plus those opened and less the idle ones closed since.
     connections: usize,
 }
 
@@ -132,15 +132,16 @@
         self.for_each_connected(|worker| worker.transports().for_each(|t| t.check_liveness()));
     }
 
-    /// Counts the connections again, without those that have ended since they were opened.
+    /// Counts the connections again, without those that have ended since the last count, and returns their
+    /// number.
     pub fn recount_connections(&mut self) -> usize {
         self.connections =
             self.connected.iter().filter_map(|id| self.workers.get(id)).map(Worker::connections).sum();
         self.connections
     }
 
-    /// Closes connections that have been idle for long, and removes gone workers without connections: workers
-    /// are replaced by new ones all the time.
+    /// Closes connections that have been idle for long, and removes gone workers without connections. Workers
+    /// are replaced by new ones all the time, so the pool would grow without bound otherwise.
     pub fn sweep(&mut self) {
         self.for_each_connected(Worker::sweep);
         let workers = &self.workers;
--- a/heronslip/src/limits.rs
+++ b/heronslip/src/limits.rs
@@ -83,8 +83,8 @@
     pub discovery_check_interval: Duration,
     /// Upper bound of the random delay before the first reconnection to the discovery service.
     pub discovery_initial_backoff: Duration,
-    /// Upper bound of the random delay before later reconnections. All that the discovery service has to
-    /// report counts as received 2 s after a lost connection.
+    /// Upper bound of the random delay before later reconnections. The platform counts all list changes as
+    /// received 2 s after a connection loss.
     pub discovery_max_backoff: Duration,
     /// Maximum bytes of one entry of the discovery service's worker list.
     pub discovery_max_entry_bytes: usize,
@@ -157,7 +157,7 @@
             // A probe may first need a new connection; its reply takes as long as that to a liveness check.
             probe_timeout: (connect_timeout + liveness_check_timeout).as_micros() as Micros,
             command_timeout: if settings.command_timeout > 0 { settings.command_timeout } else { 10_000_000 },
-            // What a silent discovery service has to report counts as received after 4 s.
+            // The platform counts the list changes of a silent discovery service as received after 4 s.
             discovery_silence_timeout: Duration::from_millis(2_500),
             discovery_check_interval: Duration::from_millis(50),
             discovery_initial_backoff: Duration::from_millis(100),
--- a/heronslip/src/messages.rs
+++ b/heronslip/src/messages.rs
@@ -157,7 +157,7 @@
     pub zone: String,
     /// Name of its machine type.
     pub machine_type: String,
-    /// Its cell.
+    /// Its cell, a group of workers that may share their record of idempotency keys.
     pub cell: u64,
     /// The protocol it speaks.
     pub protocol: WorkerProtocol,
@@ -199,7 +199,7 @@
         command: u64,
         /// How it ended.
         outcome: Outcome,
-        /// Copies that are loaded at the worker.
+        /// Copies of the function that are loaded at the worker.
         copies: u32,
     },
     /// A probe ended.
--- a/heronslip/src/net.rs
+++ b/heronslip/src/net.rs
@@ -28,7 +28,8 @@
 
 /// Configures the coroutine scheduler. Must be called before the first coroutine starts.
 pub fn configure_scheduler(limits: &Limits) {
-    // The process has one CPU core: further scheduler threads would only take turns on it.
+    // The process has one CPU core: further scheduler threads would only take turns on it. `may` counts stack
+    // sizes in machine words.
     may::config()
         .set_workers(1)
         .set_stack_size(limits.coroutine_stack / size_of::<usize>())
@@ -36,7 +37,7 @@
     may::config().set_worker_pin(false);
 }
 
-/// Starts a coroutine with a stack of this many bytes. May's default is smaller and undocumented.
+/// Starts a coroutine with a stack of this many bytes. The default of `may` is smaller and undocumented.
 pub fn spawn(stack: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
     // A panic leaves no shared state half-changed: each connection's state belongs to its coroutines.
     let builder = may::coroutine::Builder::new().stack_size(stack / size_of::<usize>());
@@ -50,7 +51,7 @@
 
 /// A connection that one coroutine reads and another writes, through one descriptor.
 ///
-/// May lets only one coroutine wait on a descriptor. That is the reader; a writer that finds no room tries
+/// `may` lets only one coroutine wait on a descriptor. That is the reader; a writer that finds no room tries
 /// again after pauses. A second descriptor for the writer would halve the number of connections within the
 /// platform's limit.
 #[derive(Clone)]
@@ -215,7 +216,7 @@
 struct Activity {
     /// Requests without a response.
     open_requests: usize,
-    /// When the last response was sent; before the first, when the client connected.
+    /// When the last request was answered or aborted; before that, when the client connected.
     idle_since: Instant,
     /// Whether a request on it was served or refused. Other connections may never carry a valid request.
     had_valid_request: bool,
--- a/heronslip/src/server/fastcgi.rs
+++ b/heronslip/src/server/fastcgi.rs
@@ -11,6 +11,7 @@
 use std::time::Instant;
 
 const VERSION: u8 = 1;
+// Record types.
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
 const END_REQUEST: u8 = 3;
@@ -20,14 +21,16 @@
 const GET_VALUES: u8 = 9;
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
+// Role and flag of BEGIN_REQUEST.
 const RESPONDER: u16 = 1;
 const KEEP_CONN: u8 = 1;
+// Protocol statuses of END_REQUEST.
 const REQUEST_COMPLETE: u8 = 0;
 const OVERLOADED: u8 = 2;
 const UNKNOWN_ROLE: u8 = 3;
-/// Length of a record header.
+/// Length of a record header, in bytes.
 const HEADER: usize = 8;
-/// Maximum content of a STDOUT record, a multiple of 8 below 64 KiB.
+/// Maximum content of a STDOUT record in bytes, a multiple of 8 below 64 KiB.
 const MAX_STDOUT_CONTENT: usize = 0xfff8;
 /// Reads of one connection after which other coroutines get their turn.
 const READS_BEFORE_YIELD: u32 = 8;
@@ -321,7 +324,7 @@
             self.partial.get_mut(&id).map_or(&mut self.unassigned_discarded, |p| &mut p.discarded);
         *discarded += bytes;
         let within_limit = *discarded <= self.context.limits.max_discarded;
-        within_limit.then_some(()).ok_or("too many bytes of rejected requests".to_owned())
+        within_limit.then_some(()).ok_or("too many bytes of rejected or unknown requests".to_owned())
     }
 
     fn handle_record(&mut self, kind: u8, id: u16, content: &[u8]) -> Result<(), String> {
--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! Signal handling and graceful shutdown. SIGHUP reloads the discovery service's address, also during a
 //! shutdown. After SIGTERM or SIGINT the process serves requests for a short while and then exits once
-//! nothing is open.
+//! all of them are answered and all responses are written.
 use crate::config::Config;
 use crate::discovery::ServiceAddress;
 use crate::server::{Acceptor, ServerContext};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often the end of open work is checked.
+/// Interval between checks for open requests, or for connections that wait to be accepted.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Delay before a configuration that could not be read is read again.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -31,7 +31,7 @@
             if signal == SIGHUP {
                 reloaded = reload(&service_address);
             } else {
-                let _ = stop.send(()); // fails after the first signal to stop
+                let _ = stop.send(()); // only the first is received; fails once the process exits
             }
         }
         while !reloaded {
@@ -57,7 +57,8 @@
     close_listeners(listeners, context);
     let start = Instant::now();
     let mut idle_checks = 0;
-    // Two idle checks in a row: one of them counts a response on its way from the core to a writer.
+    // Two idle checks in a row: a single one may miss a request or response that moves from one counter to
+    // another between the loads.
     while idle_checks < 2 && start.elapsed() < limits.shutdown_timeout {
         let open = context.shared.open_requests.load(Ordering::Acquire)
             + context.unsent_bytes.load(Ordering::Acquire);
--- a/heronslip/tests/graceful_shutdown.rs
+++ b/heronslip/tests/graceful_shutdown.rs
@@ -61,7 +61,7 @@
 }
 
 /// A request that is queued for the core must count as incoming until the core has handled it. Otherwise a
-/// shutdown could end before.
+/// shutdown could end before it is answered.
 #[test]
 fn a_request_queued_for_the_core_is_counted() {
     let (context, queue) = test_context(|_| ());
--- a/heronslip/tests/list_changes.rs
+++ b/heronslip/tests/list_changes.rs
@@ -1,5 +1,5 @@
-//! The worker list changes while calls are in flight. Each test plays the worker and the discovery service,
-//! and so forces one order of events.
+//! The worker list changes while calls are in flight. Each test takes the place of the workers and the
+//! discovery service, and so forces one order of events.
 mod common;
 
 use common::{
@@ -27,8 +27,9 @@
     assert!(new.has_no_connection(), "the call was sent again");
 }
 
-/// A known worker moves to the address of another before the list reports the other's end. Calls that are
-/// accounted to the other, and its slow start, must not reach the worker that is there now.
+/// A known worker moves to the address of another before the list reports the other's end. Calls under the
+/// other's name must not reach the worker that is there now, and neither the other's load accounting nor its
+/// slow start may apply to it.
 #[test]
 fn a_worker_that_moves_replaces_the_one_at_its_address() {
     let (first, second) = (ScriptedWorker::new(), ScriptedWorker::new());
--- a/heronslip/tests/program.rs
+++ b/heronslip/tests/program.rs
@@ -171,7 +171,7 @@
 }
 
 /// Requests that are open at SIGTERM may take long. If the discovery service moves meanwhile, it must be
-/// followed, whether SIGHUP comes before or after SIGTERM.
+/// followed, whether SIGHUP comes before SIGTERM, together with it or after it.
 #[rstest]
 #[case::before("-HUP -TERM")]
 #[case::after("-TERM -HUP")]
