--- a/heronslip/src/lib.rs
+++ b/heronslip/src/lib.rs
@@ -78,7 +78,8 @@
     let mut listeners = vec![fastcgi];
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
-            let workers = discovery::parse_endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            let workers = discovery::parse_endpoints(endpoints)
+                .map_err(|e| format!("cannot read the endpoints of KServe v2 workers: {e}"))?;
             let _ = queue.send(Message::WorkerList { source: WorkerProtocol::Kserve, full: true, workers });
         }
         let listener = listen(kserve.listen, &context, "kserve", server::kserve::serve)?;
--- a/heronslip/src/shutdown.rs
+++ b/heronslip/src/shutdown.rs
@@ -16,7 +16,8 @@
 /// Delay before a configuration that could not be read is read again.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Handles signals until SIGTERM or SIGINT, then shuts down gracefully. Returns when the process may exit.
+/// Handles signals until SIGTERM or SIGINT, then shuts down gracefully. Returns when the process may exit;
+/// further signals to stop do not shorten the shutdown.
 pub fn run_until_shutdown(
     mut signals: Signals, listeners: &[Acceptor], context: &ServerContext,
     service_address: &Arc<ServiceAddress>,
