--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -174,7 +174,7 @@
         let (host, length, budget) = (self.address, body.len(), budget / 1000);
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
-             Content-Length: {length}\r\nX-MemoryBudget-Ms: {budget}\r\n\r\n"
+             Content-Length: {length}\r\nX-Budget-Ms: {budget}\r\n\r\n"
         );
         [head.as_bytes(), body].concat()
     }
@@ -472,7 +472,7 @@
     std::str::from_utf8(body).ok().and_then(|t| parse(t).ok())
 }
 
-/// The outcome that an HTTP status stands for. Workers answer 404 without the model, and 429 or 503 when they accept
+/// The outcome that an HTTP status stands for. Workers respond with 404 without the model, and 429 or 503 when they accept
 /// nothing: in neither case has anything run.
 fn outcome(status: u16) -> Outcome {
     match status {
--- a/heronslip/src/worker/mod.rs
+++ b/heronslip/src/worker/mod.rs
@@ -79,9 +79,9 @@
 
 /// Creates the transport for a worker's protocol.
 pub fn new_transport(
-    speech: WorkerProtocol, address: SocketAddr, limits: &Arc<Limits>, reports: &ReportSender,
+    protocol: WorkerProtocol, address: SocketAddr, limits: &Arc<Limits>, reports: &ReportSender,
 ) -> Box<dyn Transport> {
-    match speech {
+    match protocol {
         WorkerProtocol::Frames => {
             Box::new(frames::FrameTransport::new(address, limits.clone(), reports.clone()))
         }
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -100,7 +100,7 @@
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
  "failure-domains":["zone-a","zone-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
  "family-info":{"free-loads":4,"keep":8000,"load-span":5000,"load-wait":4000,"loads-per-request":0.15,
- "machine-mb":[90000],"orders":true,"tells-function_inflight":true,"tells-warm":true,"when-absent":"load"},
+ "machine-mb":[90000],"orders":true,"tells-crowd":true,"tells-warm":true,"when-absent":"load"},
  "limits":{"conn-idle":15000,"connect-timeout":250,"max-attempts":3,"max-retry-after":1000,"may-cancel":true,
  "probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"drain-grace":1000,"fall":1000,
  "fall-multiple":2,"warm-within":17000}}"#;
