--- a/heronslip/src/discovery/backoff.rs
+++ b/heronslip/src/discovery/backoff.rs
@@ -3,10 +3,11 @@
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// Delays that are uniformly random between zero and a range that doubles with each failed attempt, up to a bound.
+/// Delays that are uniformly random between zero and a range that doubles with each failed attempt, up to a
+/// bound.
 ///
-/// Hundreds of front ends that lose the service at the same moment reconnect spread over that range. A service that
-/// stays away is tried less and less often, but still about once per `max_range`.
+/// Hundreds of front ends that lose the service at the same moment reconnect spread over that range. A
+/// service that stays away is tried less and less often, but still about once per `max_range`.
 #[derive(Debug)]
 pub struct Backoff {
     initial_range: Duration,
@@ -16,7 +17,8 @@
 }
 
 impl Backoff {
-    /// A backoff whose first delay is at most `initial_range`, and whose later delays are at most `max_range`.
+    /// A backoff whose first delay is at most `initial_range`, and whose later delays are at most
+    /// `max_range`.
     pub fn new(initial_range: Duration, max_range: Duration, seed: u64) -> Self {
         Backoff { initial_range, max_range, range: initial_range, random: Pcg32::seed_from_u64(seed) }
     }
--- a/heronslip/src/discovery/client.rs
+++ b/heronslip/src/discovery/client.rs
@@ -1,4 +1,5 @@
-//! Follows the worker list of the discovery service: server-sent events over HTTP, resumed after the last event id.
+//! Follows the worker list of the discovery service: server-sent events over HTTP, resumed after the last
+//! event id.
 use super::backoff::Backoff;
 use super::event_stream::{EventStream, StreamItem};
 use super::list_event::{EventBounds, EventError, EventReader};
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Applies an event from the configuration, and returns whether all its entries could be used. The core receives
-    /// the changes with [`Subscriber::finish_initial`].
+    /// Applies an event from the configuration, and returns whether all its entries could be used. The core
+    /// receives the changes with [`Subscriber::finish_initial`].
     pub fn apply_initial(&mut self, event: ListEvent) -> bool {
         let mut staged = self.table.begin_event();
         event.entries.into_iter().for_each(|entry| self.table.stage(entry, &mut staged));
@@ -127,7 +128,8 @@
         all_valid
     }
 
-    /// Ends the initial events, which go up to event `last_event`, and sends their combined changes to the core.
+    /// Ends the initial events, which go up to event `last_event`, and sends their combined changes to the
+    /// core.
     pub fn finish_initial(&mut self, last_event: u64) {
         self.last_event = last_event;
         if let Some(initial) = self.initial.take() {
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Tells the core that the list is up to date. It is told each time, as it may have come to suspect the list.
+    /// Tells the core that the list is up to date. It is told each time, as it may have come to suspect the
+    /// list.
     fn report_current(&mut self) {
         if self.sent_state.replace(DiscoveryState::Current) != Some(DiscoveryState::Current) {
             log!("discovery: the worker list is up to date, last event {}", self.last_event);
@@ -173,8 +176,9 @@
         true
     }
 
-    /// Handles the end of an event. An invalid event is requested once more, as it may have been corrupted on its way.
-    /// If it is invalid again, the invalid part is skipped: otherwise the service would be asked for it forever.
+    /// Handles the end of an event. An invalid event is requested once more, as it may have been corrupted on
+    /// its way. If it is invalid again, the invalid part is skipped: otherwise the service would be asked for
+    /// it forever.
     fn end_event(&mut self, id: &str, event: IncomingEvent) -> Result<(), ConnectionError> {
         let number: u64 = id.parse().map_err(|_| ConnectionError::EventId(id.to_owned()))?;
         // The service may send an event twice. An old one would undo the changes that followed it.
@@ -249,8 +253,8 @@
     }
 }
 
-/// Follows the worker list forever. Whenever the connection ends or the address changes, it reconnects with a backoff
-/// and resumes after the last event.
+/// Follows the worker list forever. Whenever the connection ends or the address changes, it reconnects with a
+/// backoff and resumes after the last event.
 pub fn follow(service: &ServiceAddress, mut subscriber: Subscriber, limits: &Limits, seed: u64) {
     let mut backoff = Backoff::new(limits.discovery_initial_backoff, limits.discovery_max_backoff, seed);
     let mut connection_ends = RepeatedLine::default();
@@ -277,8 +281,8 @@
 fn run_connection(
     service: &ServiceAddress, address: SocketAddr, subscriber: &mut Subscriber, limits: &Limits,
 ) -> Result<(), ConnectionError> {
-    // The connect timeout for workers may be too long here: a change of the list counts as known to front ends 4 s
-    // after it is published.
+    // The connect timeout for workers may be too long here: a change of the list counts as known to front
+    // ends 4 s after it is published.
     let connect_timeout = limits.connect_timeout.min(limits.discovery_silence_timeout / 2);
     let mut stream = TcpStream::connect_timeout(&address, connect_timeout)?;
     stream.set_read_timeout(Some(limits.discovery_check_interval))?;
@@ -295,7 +299,8 @@
         match ring.read_from(&mut stream) {
             Ok(0) => return Err(ConnectionError::Closed),
             Ok(_) => {}
-            // Progress followed by a pause between events: everything that the service had to send has been read.
+            // Progress followed by a pause between events: everything that the service had to send has been
+            // read.
             Err(e) if is_timeout(&e) => {
                 if response.event.is_none() && std::mem::take(&mut progress_unreported) {
                     response.subscriber.report_current();
--- a/heronslip/src/discovery/event_stream.rs
+++ b/heronslip/src/discovery/event_stream.rs
@@ -1,5 +1,5 @@
-//! An incremental parser of server-sent events. Data is handed on byte by byte as it arrives; only the start of the
-//! current field's name, or of an event's id, is buffered.
+//! An incremental parser of server-sent events. Data is handed on byte by byte as it arrives; only the start
+//! of the current field's name, or of an event's id, is buffered.
 
 /// Most bytes of a field's name or of an `id` that are looked at: longer ones mean nothing here.
 const MAX_TOKEN_BYTES: usize = 32;
--- a/heronslip/src/discovery/json_array.rs
+++ b/heronslip/src/discovery/json_array.rs
@@ -1,7 +1,7 @@
 //! An incremental scanner that finds the elements of one array inside a JSON text while the text arrives.
 //!
-//! The caller needs to hold only one element at a time, whatever the length of the array. Everything outside the array
-//! is kept as a JSON text in which the array is empty, and can be parsed once the text has ended.
+//! The caller needs to hold only one element at a time, whatever the length of the array. Everything outside
+//! the array is kept as a JSON text in which the array is empty, and can be parsed once the text has ended.
 
 /// Why a text cannot be scanned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -23,7 +23,8 @@
     Inside,
     /// The last byte of an element.
     Last,
-    /// The first byte after an element that is a number or a literal: only this byte shows that the element has ended.
+    /// The first byte after an element that is a number or a literal: only this byte shows that the element
+    /// has ended.
     After,
 }
 
--- a/heronslip/src/discovery/list_event.rs
+++ b/heronslip/src/discovery/list_event.rs
@@ -1,5 +1,5 @@
-//! Parses one event of the worker list while it arrives, entry by entry. Memory is bounded by the number of entries
-//! and the size of one entry, not by the size of the event.
+//! Parses one event of the worker list while it arrives, entry by entry. Memory is bounded by the number of
+//! entries and the size of one entry, not by the size of the event.
 use super::instance::{parse_instance, InvalidInstance};
 use super::json_array::{ArrayScanner, BytePosition, ScanError};
 use crate::messages::ListedWorker;
--- a/heronslip/src/discovery/mod.rs
+++ b/heronslip/src/discovery/mod.rs
@@ -1,9 +1,10 @@
-//! Worker discovery: the worker list, followed by events from the discovery service or read from a file of endpoints.
+//! Worker discovery: the worker list, followed by events from the discovery service or read from a file of
+//! endpoints.
 //!
-//! Whatever the service sends: an event applies as a whole or not at all, an event that cannot be used leaves the
-//! list as it was, and entries that repeat what is known are not passed on. The memory that an arriving event takes
-//! depends on what it changes, not on its size. After a connection ends, the service is asked for the events that
-//! follow the last one that was applied.
+//! Whatever the service sends: an event applies as a whole or not at all, an event that cannot be used leaves
+//! the list as it was, and entries that repeat what is known are not passed on. The memory that an arriving
+//! event takes depends on what it changes, not on its size. After a connection ends, the service is asked for
+//! the events that follow the last one that was applied.
 pub mod backoff;
 pub mod client;
 pub mod event_stream;
--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -1,4 +1,5 @@
-//! The worker list as the discovery service last sent it, kept so that only changes are passed on to the core.
+//! The worker list as the discovery service last sent it, kept so that only changes are passed on to the
+//! core.
 use super::instance::InvalidInstance;
 use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::WorkerState;
@@ -20,13 +21,13 @@
 
 /// The worker list.
 ///
-/// An event is staged entry by entry and changes nothing before it is committed, so an event that breaks off leaves the
-/// list as it was.
+/// An event is staged entry by entry and changes nothing before it is committed, so an event that breaks off
+/// leaves the list as it was.
 #[derive(Debug, Default)]
 pub struct WorkerTable {
     listed: HashMap<Box<str>, TableEntry>,
-    /// How many workers are listed at each address. The core keeps only one worker per address, so entries of workers
-    /// that share one are always passed on.
+    /// How many workers are listed at each address. The core keeps only one worker per address, so entries of
+    /// workers that share one are always passed on.
     workers_at: HashMap<SocketAddr, u32>,
     /// Number of the current event.
     event: u32,
@@ -79,8 +80,8 @@
         staged.changed.push(worker);
     }
 
-    /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that it does
-    /// not name.
+    /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that
+    /// it does not name.
     pub fn commit(&mut self, full: bool, staged: StagedEvent) -> Vec<ListedWorker> {
         let mut changes = Vec::new();
         if full {
--- a/heronslip/src/discovery/xds.rs
+++ b/heronslip/src/discovery/xds.rs
@@ -4,8 +4,8 @@
 use heronslip_policy::WorkerState;
 use miniserde::json::{Object, Value};
 
-/// Parses the workers in an xDS discovery response (or a single resource) of `ClusterLoadAssignment`s. Each endpoint's
-/// `metadata.filter_metadata["heronslip"]` holds what this front end needs beyond xDS.
+/// Parses the workers in an xDS discovery response (or a single resource) of `ClusterLoadAssignment`s. Each
+/// endpoint's `metadata.filter_metadata["heronslip"]` holds what this front end needs beyond xDS.
 ///
 /// # Errors
 /// Returns which required field is missing or invalid.
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -1,5 +1,5 @@
-//! The platform's binary protocol: frames for attempts, load commands and cancels over shared connections to one
-//! worker.
+//! The platform's binary protocol: frames for attempts, load commands and cancels over shared connections to
+//! one worker.
 use super::{ConnectionUsage, ReportSender, Transport};
 use crate::limits::Limits;
 use crate::messages::{AttemptKey, AttemptReport, Payload, Request};
@@ -37,11 +37,11 @@
 const CODE_NOT_ACCEPTING: u8 = 207;
 const HEADER_BYTES: usize = 16;
 const CHECKSUM_BYTES: usize = 4;
-/// A call's frame of which no byte has been written by then is removed: it would tell the worker of more time than
-/// is left.
+/// A call's frame of which no byte has been written by then is removed: it would tell the worker of more time
+/// than is left.
 const MAX_BUDGET_AGE: Duration = Duration::from_millis(100);
-/// Ids of ended calls that a connection remembers. A reply that crosses its cancel, or comes twice, arrives within
-/// fewer calls than this.
+/// Ids of ended calls that a connection remembers. A reply that crosses its cancel, or comes twice, arrives
+/// within fewer calls than this.
 const REMEMBERED_IDS: usize = 256;
 
 /// Encodes one frame.
@@ -77,8 +77,8 @@
         self.fields.split(',').find_map(|pair| pair.split_once('=').filter(|p| p.0 == name)).map(|p| p.1)
     }
 
-    /// The number of requests in flight that the worker reports. The settings call it `busy_reqs`, the protocol's
-    /// documentation `inflight`; workers use the first.
+    /// The number of requests in flight that the worker reports. The settings call it `busy_reqs`, the
+    /// protocol's documentation `inflight`; workers use the first.
     pub fn inflight(&self) -> Option<f64> {
         let number = |pair: &str| {
             let (name, value) = pair.split_once(':')?;
@@ -169,7 +169,8 @@
 pub enum StartCondition {
     /// At any time: the exchange gives the worker no new work.
     Always,
-    /// Until the worker is known to drain, and before the deadline if its readiness is known for a limited time.
+    /// Until the worker is known to drain, and before the deadline if its readiness is known for a limited
+    /// time.
     WhileReady {
         /// When the worker's readiness stops being known.
         deadline: Option<Instant>,
@@ -200,7 +201,8 @@
 /// The frame that starts an exchange.
 enum FirstFrame {
     Encoded(Vec<u8>),
-    /// A call. It is encoded just before it is written, so that the remaining time it tells the worker is right.
+    /// A call. It is encoded just before it is written, so that the remaining time it tells the worker is
+    /// right.
     Call {
         request: Arc<Request>,
         deadline: Instant,
@@ -208,7 +210,8 @@
 }
 
 impl FirstFrame {
-    /// The encoded frame, and until when its first byte may be written; nothing if the call's deadline has passed.
+    /// The encoded frame, and until when its first byte may be written; nothing if the call's deadline has
+    /// passed.
     fn encode(&self, now: Instant) -> Option<(Vec<u8>, Option<Instant>)> {
         match self {
             FirstFrame::Encoded(frame) => Some((frame.clone(), None)),
@@ -252,7 +255,8 @@
 #[derive(Default)]
 struct ExchangeTable {
     pending: BTreeMap<u64, PendingExchange>,
-    /// Ids of calls that were cancelled or served on this connection, oldest first: another reply to them may come.
+    /// Ids of calls that were cancelled or served on this connection, oldest first: another reply to them may
+    /// come.
     ended_ids: VecDeque<u64>,
     broken: bool,
     /// When the last reply was read.
@@ -260,8 +264,8 @@
 }
 
 impl ExchangeTable {
-    /// Whether a reply under this id could belong to another exchange. The ids of load commands, copy queries and
-    /// probes are never reused.
+    /// Whether a reply under this id could belong to another exchange. The ids of load commands, copy queries
+    /// and probes are never reused.
     fn is_id_in_use(&self, id: u64) -> bool {
         self.pending.contains_key(&id) || self.ended_ids.contains(&id)
     }
@@ -459,9 +463,9 @@
         self.connections.iter().for_each(|c| c.state.retired.store(true, Ordering::Release));
     }
 
-    /// Guards calls against a connection that stays open but delivers nothing any more: its pending calls would wait
-    /// for their whole budget, and new calls would join them. A copy query, which changes nothing at the worker,
-    /// shows whether the connection works.
+    /// Guards calls against a connection that stays open but delivers nothing any more: its pending calls
+    /// would wait for their whole budget, and new calls would join them. A copy query, which changes nothing
+    /// at the worker, shows whether the connection works.
     fn check_liveness(&mut self) {
         let limits = self.limits.clone();
         for connection in self.connections.iter_mut().filter(|c| !c.state.broken.load(Ordering::Acquire)) {
@@ -510,8 +514,8 @@
 
     fn sweep(&mut self) {
         let max_idle = self.limits.worker_idle_timeout;
-        // Dropping the sender lets the writer close the connection. Closing idle connections before the worker does
-        // keeps an attempt from crossing the worker's close.
+        // Dropping the sender lets the writer close the connection. Closing idle connections before the
+        // worker does keeps an attempt from crossing the worker's close.
         self.connections.retain(|c| {
             let idle = c.state.pending.load(Ordering::Acquire) == 0;
             let expired = c.last_used.elapsed() > max_idle || c.state.retired.load(Ordering::Acquire);
@@ -520,7 +524,8 @@
     }
 }
 
-/// Frames that wait in the ring buffer for the socket. Positions count bytes from the start of the connection.
+/// Frames that wait in the ring buffer for the socket. Positions count bytes from the start of the
+/// connection.
 pub struct WriteQueue {
     ring: RingBuffer,
     frames: VecDeque<QueuedFrame>,
@@ -594,9 +599,9 @@
         self.written
     }
 
-    /// Removes frames of which no byte has been written and whose start condition no longer holds; `retired` tells
-    /// whether the worker drains. All other frames stay, cancels among them: an attempt whose cancel was lost would
-    /// still run beside the one that replaces it.
+    /// Removes frames of which no byte has been written and whose start condition no longer holds; `retired`
+    /// tells whether the worker drains. All other frames stay, cancels among them: an attempt whose cancel
+    /// was lost would still run beside the one that replaces it.
     pub fn remove_expired(&mut self, retired: bool, now: Instant) -> RemovedFrames {
         if !self.frames.iter().any(|frame| frame.has_expired(self.written, retired, now)) {
             return RemovedFrames::default();
@@ -652,7 +657,8 @@
     }
 }
 
-/// Ends everything that is pending on a connection. A frame that was not written completely proves that nothing ran.
+/// Ends everything that is pending on a connection. A frame that was not written completely proves that
+/// nothing ran.
 fn fail_connection(state: &ConnectionState, reports: &ReportSender) {
     state.broken.store(true, Ordering::Release);
     let pending = {
@@ -678,8 +684,8 @@
             log_limited!("worker {address}: connection failed: {why}");
         }
         fail_connection(&writer.state, &writer.reports);
-        // Commands that are still queued, or are queued until the transport drops its sender at a sweep, were never
-        // written.
+        // Commands that are still queued, or are queued until the transport drops its sender at a sweep, were
+        // never written.
         for command in std::mem::take(&mut writer.waiting) {
             writer.reject(command);
         }
@@ -694,7 +700,8 @@
         }
     }
 
-    /// Opens the connection, starts its reader and writes until the transport drops the connection or it fails.
+    /// Opens the connection, starts its reader and writes until the transport drops the connection or it
+    /// fails.
     fn connection(&mut self, address: SocketAddr, commands: &Receiver<Command>) -> Result<(), String> {
         let text = |e: std::io::Error| e.to_string();
         let stream = TcpStream::connect_timeout(&address, self.limits.connect_timeout).map_err(text)?;
@@ -753,7 +760,8 @@
         }
     }
 
-    /// Drops cancelled exchanges that still wait. Those that have started are cancelled by a frame of their own.
+    /// Drops cancelled exchanges that still wait. Those that have started are cancelled by a frame of their
+    /// own.
     fn apply_cancels(&mut self) {
         let cancels: Vec<ExchangeKey> = self
             .waiting
@@ -769,8 +777,8 @@
         }
     }
 
-    /// Ends exchanges of which no byte has been written and which may no longer start: because the worker drains, or
-    /// because their deadline has passed.
+    /// Ends exchanges of which no byte has been written and which may no longer start: because the worker
+    /// drains, or because their deadline has passed.
     fn remove_expired(&mut self) {
         let (retired, now) = (self.state.retired.load(Ordering::Acquire), Instant::now());
         let (state, reports) = (&self.state, &self.reports);
@@ -840,8 +848,8 @@
         Ok(!fits)
     }
 
-    /// Cancels an exchange of this connection; true if there is no room for the cancel's frame yet. Load commands
-    /// are not cancelled at the worker: only their replies are no longer awaited.
+    /// Cancels an exchange of this connection; true if there is no room for the cancel's frame yet. Load
+    /// commands are not cancelled at the worker: only their replies are no longer awaited.
     fn push_cancel(&mut self, key: ExchangeKey) -> Result<bool, String> {
         if self.queue.free() < HEADER_BYTES + CHECKSUM_BYTES {
             return Ok(true);
@@ -867,8 +875,8 @@
         }
         let Ok(mut table) = self.state.exchanges.lock() else { return Err("poisoned".to_owned()) };
         if table.broken || table.is_id_in_use(id) {
-            // Replies to two exchanges under one id could not be told apart, so the later one is not sent. That is
-            // no failure of the worker.
+            // Replies to two exchanges under one id could not be told apart, so the later one is not sent.
+            // That is no failure of the worker.
             let outcome = if table.broken { Outcome::ConnectFailed } else { Outcome::NotSent };
             drop(table);
             end_exchange(&self.reports, &self.state, key, outcome);
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -1,5 +1,5 @@
-//! KServe v2 over HTTP/1.1 to one worker. Each connection carries one exchange at a time. Load commands, copy queries
-//! and unloads use the model repository extension.
+//! KServe v2 over HTTP/1.1 to one worker. Each connection carries one exchange at a time. Load commands, copy
+//! queries and unloads use the model repository extension.
 use super::{ConnectionUsage, ReportSender, Transport};
 use crate::http::{ChunkedDecoder, ChunkedItem, Head};
 use crate::limits::Limits;
@@ -82,8 +82,8 @@
 enum JobKind {
     Attempt {
         key: AttemptKey,
-        /// Whether the request came over the platform's protocol, so that its body is wrapped and the reply's body
-        /// must be unwrapped.
+        /// Whether the request came over the platform's protocol, so that its body is wrapped and the reply's
+        /// body must be unwrapped.
         wrapped: bool,
     },
     /// A load command; with 0 copies, a copy query.
@@ -181,8 +181,8 @@
 }
 
 impl Transport for KserveTransport {
-    // The start deadlines are ignored: these workers come from a file, so what is known of their readiness does not
-    // expire.
+    // The start deadlines are ignored: these workers come from a file, so what is known of their readiness
+    // does not expire.
     fn send_attempt(
         &mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, _start_deadline: Option<Instant>,
     ) {
@@ -207,7 +207,8 @@
     }
 
     fn connections(&self) -> ConnectionUsage {
-        // `Limits::connections_per_kserve_worker` bounds these connections, so the transport never asks for another.
+        // `Limits::connections_per_kserve_worker` bounds these connections, so the transport never asks for
+        // another.
         ConnectionUsage { open: self.state.connections.load(Ordering::Acquire), needs_new: false }
     }
 
@@ -237,7 +238,8 @@
     }
 
     fn send_probe(&mut self, probe: u64) {
-        self.reports.probe_ended(probe, Outcome::Ok, None); // the endpoints file says that the worker is ready
+        // The endpoints file says that the worker is ready.
+        self.reports.probe_ended(probe, Outcome::Ok, None);
     }
 
     fn unload(&mut self, function: FunctionId) {
@@ -281,7 +283,8 @@
                     self.run_job(&job);
                     self.state.pending.fetch_sub(1, Ordering::AcqRel);
                 }
-                // Closing an idle connection before the worker does keeps an attempt from crossing the worker's close.
+                // Closing an idle connection before the worker does keeps an attempt from crossing the
+                // worker's close.
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout) => self.stream = None,
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
             }
@@ -419,7 +422,8 @@
                         return Err("the reply is too long".to_owned());
                     }
                     head_bytes.clear();
-                    head = (parsed.status >= 200).then_some(parsed); // skips 1xx responses such as 100 Continue
+                    // Skips 1xx responses such as 100 Continue.
+                    head = (parsed.status >= 200).then_some(parsed);
                 } else if head_bytes.len() > self.limits.max_head {
                     return Err("the reply's head is too long".to_owned());
                 }
@@ -436,7 +440,8 @@
                     if begun && last_read.elapsed() > self.limits.reply_stall_timeout {
                         return Err("the reply stopped before its end".to_owned());
                     }
-                    // HTTP/1.1 has no cancel: closing the connection is the only way to end an exchange early.
+                    // HTTP/1.1 has no cancel: closing the connection is the only way to end an exchange
+                    // early.
                     if job.cancelled.load(Ordering::Acquire) || Instant::now() > job.deadline {
                         return Err("cancelled or past its deadline".to_owned());
                     }
@@ -472,8 +477,8 @@
     std::str::from_utf8(body).ok().and_then(|t| parse(t).ok())
 }
 
-/// The outcome that an HTTP status stands for. Workers respond with 404 without the model, and 429 or 503 when they accept
-/// nothing: in neither case has anything run.
+/// The outcome that an HTTP status stands for. A worker responds with 404 if it does not have the model, and with 429
+/// or 503 if it accepts no work: in none of these cases has anything run.
 fn outcome(status: u16) -> Outcome {
     match status {
         200 => Outcome::Ok,
--- a/heronslip/src/worker/mod.rs
+++ b/heronslip/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! Worker transports: each carries attempts, load commands and cancels to one worker and reports how they end.
+//! Worker transports: each carries attempts, load commands and cancels to one worker and reports how they
+//! end.
 pub mod frames;
 pub mod kserve;
 
@@ -44,8 +45,8 @@
 ///
 /// Load commands, copy queries and probes share one number space.
 pub trait Transport: Send {
-    /// Sends an attempt, unless its first byte cannot be written before `start_deadline`. Reports its end exactly
-    /// once, unless it is cancelled first.
+    /// Sends an attempt, unless its first byte cannot be written before `start_deadline`. Reports its end
+    /// exactly once, unless it is cancelled first.
     fn send_attempt(
         &mut self, key: AttemptKey, request: &Arc<Request>, budget: Micros, start_deadline: Option<Instant>,
     );
@@ -61,15 +62,16 @@
     fn idle_since(&self) -> Option<Instant>;
     /// Closes the connection that has been idle longest.
     fn close_longest_idle(&mut self);
-    /// Tells the worker to have this many copies of a function loaded; with 0 copies it only queries the number
-    /// of loaded copies. A load command is not sent if its first byte cannot be written before `start_deadline`.
+    /// Tells the worker to have this many copies of a function loaded; with 0 copies it only queries the
+    /// number of loaded copies. A load command is not sent if its first byte cannot be written before
+    /// `start_deadline`.
     fn send_load(&mut self, command: u64, function: FunctionId, copies: u32, start_deadline: Option<Instant>);
     /// Asks the worker whether it accepts work.
     fn send_probe(&mut self, probe: u64);
     /// Tells the worker to unload the idle copies of a function.
     fn unload(&mut self, function: FunctionId);
-    /// Called when the worker drains, restarts or is gone: attempts and load commands of which no byte has been
-    /// written yet are not written.
+    /// Called when the worker drains, restarts or is gone: attempts and load commands of which no byte has
+    /// been written yet are not written.
     fn retire(&mut self);
     /// Checks that connections with pending exchanges still deliver replies. Called often.
     fn check_liveness(&mut self);
--- a/heronslip/tests/codecs.rs
+++ b/heronslip/tests/codecs.rs
@@ -43,7 +43,8 @@
     assert!(Decoder::default().next_frame(&mut ring, 100).is_err());
 }
 
-/// Of log lines that peers can cause at full speed, only a few per second are written and the rest is counted.
+/// Of log lines that peers can cause at full speed, only a few per second are written and the rest is
+/// counted.
 #[test]
 fn repeated_lines_are_counted() {
     let limit = heronslip::log::RateLimit::new();
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -1,28 +1,29 @@
-//! Test harness: starts the program between stand-in clients, workers and discovery servers, which are written from
-//! the protocols' specifications, and runs scenarios. A scenario has one step per line:
+//! Test harness: starts the program between stand-in clients, workers and discovery servers, which are written
+//! from the protocols' specifications, and runs scenarios. A scenario has one step per line:
 //!
-//!     client send CLASS KEY BODY WAIT_MS     sends a request; key `-` is none
+//!     client send CLASS KEY BODY WAIT_MS    sends a request; key `-` is none
+//!     client send partial | endless         a request that stops midway; one whose body does not end
 //!     client expect served BODY | refused | failed | nothing
-//!     client send partial | endless          sends a request that stops midway; one whose body does not end
-//!     client open N                          opens N more connections that send nothing
-//!     client expect closed                   expects the end of the connection
+//!     client expect closed                  the connection ends
+//!     client open N                         opens N more connections that send nothing
 //!     client close
-//!     worker expect CLASS KEY BODY [same-zone]   expects the next call at any worker, or in the last call's zone
-//!     worker expect nothing                  expects no call
-//!     worker expect nothing later            expects no call after the client's response, and until then only
-//!                                            repetitions of the last call
-//!     worker send ok BODY | full | miss | error | truncated    replies to the last call; `truncated` ends midway
-//!     worker send stall | corrupt            sends a reply that stops midway; one whose checksum does not match
-//!     worker mute                            sends nothing more on the last call's connection
-//!     worker expect closed                   expects the end of the last call's connection
-//!     worker close                           closes the last call's connection
-//!     discovery expect LAST                  expects a request to the configured discovery server with this
-//!                                            last event id
-//!     discovery send ID WORKER STATE         sends an event on the connection of the last request
-//!     discovery close                        closes that connection
-//!     list expect WORKER STATE               waits until the program lists the worker in this state, or `absent`
-//!     program reload [broken]                configures the other discovery server (or leaves an unreadable file)
-//!                                            and sends SIGHUP
+//!     worker expect CLASS KEY BODY          the next call, at any worker
+//!     worker expect CLASS KEY BODY same-zone    the next call, in the zone of the last one
+//!     worker expect nothing                 no call
+//!     worker expect nothing later           no call after the client's response; until then only the last
+//!                                           call again
+//!     worker expect closed                  the end of the last call's connection
+//!     worker send ok BODY | full | miss | error    replies to the last call
+//!     worker send truncated | stall         a reply that ends midway; one that stops midway
+//!     worker send corrupt                   a reply whose checksum does not match
+//!     worker mute                           sends nothing more on the last call's connection
+//!     worker close                          closes the last call's connection
+//!     discovery expect LAST                 a request to the configured server with this last event id
+//!     discovery send ID WORKER STATE        sends an event on the connection of the last request
+//!     discovery close                       closes that connection
+//!     list expect WORKER STATE              waits until the program lists the worker so, or as `absent`
+//!     program reload [broken]               configures the other discovery server (or leaves a file that
+//!                                           cannot be read) and sends SIGHUP
 //!     wait MS
 #![allow(dead_code)]
 pub mod discovery_server;
@@ -279,7 +280,8 @@
         &self.discovery_servers[self.current_discovery_server.get()]
     }
 
-    /// The next request to the configured discovery server: the last event id that it names, and the connection.
+    /// The next request to the configured discovery server: the last event id that it names, and the
+    /// connection.
     pub fn discovery_request(&self) -> (String, TcpStream) {
         self.configured_discovery_server()
             .requests
@@ -287,7 +289,8 @@
             .expect("a request to the discovery server")
     }
 
-    /// The next request that arrives from now on. Earlier ones may have ended because the server sent nothing.
+    /// The next request that arrives from now on. Earlier ones may have ended because the server sent
+    /// nothing.
     pub fn new_discovery_request(&self) -> (String, TcpStream) {
         while self.configured_discovery_server().requests.try_recv().is_ok() {}
         self.discovery_request()
@@ -655,8 +658,8 @@
     }
 }
 
-/// Starts a stand-in worker. It hands calls to the test, and replies to other commands as if every function had a loaded
-/// copy.
+/// Starts a stand-in worker. It hands calls to the test, and replies to other commands as if every function
+/// had a loaded copy.
 fn start_worker(protocol: Protocol, zone: usize, calls: Sender<Call>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -757,8 +760,8 @@
     address
 }
 
-/// A worker whose replies to calls the test sends. It replies to other commands by itself, as if every function had a
-/// loaded copy.
+/// A worker whose replies to calls the test sends. It replies to other commands by itself, as if every
+/// function had a loaded copy.
 pub struct ScriptedWorker {
     listener: TcpListener,
     stream: Option<TcpStream>,
--- a/heronslip/tests/common/stand_ins.rs
+++ b/heronslip/tests/common/stand_ins.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Starts a worker that serves every call with the call's own body, and replies to other commands as if every function
-/// had a loaded copy. Returns its address and the number of calls that it has received.
+/// Starts a worker that serves every call with the call's own body, and replies to other commands as if every
+/// function had a loaded copy. Returns its address and the number of calls that it has received.
 pub fn counting_worker() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -42,8 +42,8 @@
     counting_worker().0
 }
 
-/// A listener whose accept queue is full, and the connections that fill it: further connects hang until some are
-/// accepted.
+/// A listener whose accept queue is full, and the connections that fill it: further connects hang until some
+/// are accepted.
 pub fn saturated_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
--- a/heronslip/tests/discovery.rs
+++ b/heronslip/tests/discovery.rs
@@ -53,7 +53,8 @@
     program.wait_for_worker("w0", "draining", "a repeated event is applied once");
 }
 
-/// A connect to the server hangs, with settings that allow connects to workers a minute, and the address changes.
+/// A connect to the server hangs, with settings that allow connects to workers a minute, and the address
+/// changes.
 #[test]
 fn an_address_change_is_followed_while_a_connect_hangs() {
     let (listener, _fillers) = saturated_listener();
@@ -70,8 +71,8 @@
 
 const INVALID_INSTANCE: &str = r#"{"instanceId":"odd","hostPort":"nowhere","lifecycle":"ready"}"#;
 
-/// A full list with invalid instances is requested once more. Then only the invalid instances are skipped: the others
-/// are applied, and a known worker whose instance is invalid stays as it was.
+/// A full list with invalid instances is requested once more. Then only the invalid instances are skipped:
+/// the others are applied, and a known worker whose instance is invalid stays as it was.
 #[test]
 fn invalid_instances_do_not_affect_others() {
     let (listener, discovery_server) = bind_discovery_server();
--- a/heronslip/tests/discovery_bounds.rs
+++ b/heronslip/tests/discovery_bounds.rs
@@ -66,7 +66,8 @@
     assert_eq!(read_fastcgi_response(&mut client).expect("a response").1, b"TWO");
 }
 
-/// A full list that is cut off inside or after an entry changes nothing, and is requested again by the last event id.
+/// A full list that is cut off inside or after an entry changes nothing, and is requested again by the last
+/// event id.
 #[test]
 fn a_list_that_is_cut_off_changes_nothing() {
     let (listener, discovery_server) = bind_discovery_server();
@@ -90,8 +91,8 @@
     program.wait_for_worker("w0", "absent", "the full list does not name it");
 }
 
-/// An event with an oversized entry is requested once more. Then it is skipped, and the log names its size and the bound:
-/// the list stays as it was, and the connection stays open.
+/// An event with an oversized entry is requested once more. Then it is skipped, and the log names its size
+/// and the bound: the list stays as it was, and the connection stays open.
 #[test]
 fn an_event_with_an_oversized_entry_is_skipped() {
     let (listener, discovery_server) = bind_discovery_server();
--- a/heronslip/tests/discovery_outage.rs
+++ b/heronslip/tests/discovery_outage.rs
@@ -1,10 +1,11 @@
 //! Discovery is unreachable for longer than the worker list can be trusted.
 //!
-//! Guards against calls and load commands to workers that began to drain just after discovery was lost; all of them
-//! were rejected. A drain counts as known 4 s after it begins, and the grace for calls that cross it ends 1 s later, but
-//! front ends kept sending until discovery was back (7.8 s and 8.7 s after the drain, longer than any delayed write).
-//! The cause: the worker list had no age, so a worker counted as ready from the last event about it until the next one,
-//! however long ago that was and whether or not another could arrive.
+//! Guards against calls and load commands to workers that began to drain just after discovery was lost; all
+//! of them were rejected. A drain counts as known 4 s after it begins, and the grace for calls that cross it
+//! ends 1 s later, but front ends kept sending until discovery was back. These sends were decided 7.8 s and
+//! 8.7 s after the drain, so they were no delayed writes. The cause: the worker list had no age, so a worker
+//! counted as ready from the last event about it until the next one, however long ago that was and whether
+//! or not another could arrive.
 mod common;
 
 use common::discovery_server::{accept_request, bind_discovery_server, RESPONSE_HEAD};
@@ -18,8 +19,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The time after which a drain that follows the loss of discovery counts as known: 4 s, the drain's grace, and some time
-/// for the network.
+/// The time after which a drain that follows the loss of discovery counts as known: 4 s, the drain's grace,
+/// and some time for the network.
 const DRAIN_KNOWN_AFTER: Duration = Duration::from_millis(4_000 + 1_000 + 50);
 
 /// What a front end sent to a worker.
@@ -90,8 +91,8 @@
     Silent,
 }
 
-/// Starts a front end that knows these workers, was up to date and then lost discovery. Also returns what keeps a silent
-/// server's connection open.
+/// Starts a front end that knows these workers, was up to date and then lost discovery. Also returns what
+/// keeps a silent server's connection open.
 fn program_without_discovery(
     outage: Outage, workers: Vec<SocketAddr>,
 ) -> (TestProgram, Option<(TcpListener, TcpStream)>) {
@@ -150,7 +151,8 @@
     }
 }
 
-/// A worker's reply proves its readiness as of the query, so after a quiet time the first thing it receives is a query.
+/// A worker's reply proves its readiness as of the query, so after a quiet time the first thing it receives
+/// is a query.
 #[test]
 fn a_worker_is_queried_before_it_gets_work_after_a_quiet_time() {
     let (worker, address) = Worker::start();
--- a/heronslip/tests/list_events.rs
+++ b/heronslip/tests/list_events.rs
@@ -94,7 +94,8 @@
     assert_eq!(read(text).expect_err("an error"), error);
 }
 
-/// Applies an event, and returns the changes. An entry is two characters of id, one digit of port, and the lifecycle.
+/// Applies an event, and returns the changes. An entry is two characters of id, one digit of port, and the
+/// lifecycle.
 fn apply(table: &mut WorkerTable, full: bool, entries: &[&str]) -> Vec<(String, WorkerState)> {
     let mut staged = table.begin_event();
     for text in entries {
@@ -127,7 +128,8 @@
     assert_eq!(apply(&mut table, false, &["w99 gone"]), [], "an unknown worker");
 }
 
-/// The core keeps only one worker per address: to choose again, it needs the entries of all workers that share one.
+/// The core keeps only one worker per address: to choose again, it needs the entries of all workers that
+/// share one.
 #[test]
 fn workers_that_share_an_address_are_always_passed_on() {
     let mut table = WorkerTable::default();
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The transport of the binary protocol: what it writes, what it removes before it is written, and when it closes
-//! connections.
+//! The transport of the binary protocol: what it writes, what it removes before it is written, and when it
+//! closes connections.
 mod common;
 
 use common::stand_ins::saturated_listener;
@@ -20,7 +20,8 @@
     FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
-/// Rule 3: a worker that drains gets no new work. A load command that still waits for its connection is not written.
+/// Rule 3: a worker that drains gets no new work. A load command that still waits for its connection is not
+/// written.
 #[test]
 fn a_load_command_that_waits_for_a_connection_is_not_written_after_a_drain() {
     let (listener, fillers) = saturated_listener();
@@ -139,7 +140,8 @@
     stream.write_all(&frame).expect("written");
 }
 
-/// The policy balances calls by the number of requests in flight that workers report, so the transport must pass it on.
+/// The policy balances calls by the number of requests in flight that workers report, so the transport must
+/// pass it on.
 #[rstest]
 #[case::name_in_the_settings("detail=resident,use=busy_reqs:2.5;x1:1", Some(2.5))]
 #[case::name_in_the_protocol("use=x1:3;inflight:7", Some(7.0))]
@@ -172,8 +174,8 @@
     written
 }
 
-/// The worker drains while the socket is not writable. Calls of which no byte has been written are removed. Calls that
-/// have been written in part, cancels and copy queries stay, complete and in order.
+/// The worker drains while the socket is not writable. Calls of which no byte has been written are removed.
+/// Calls that have been written in part, cancels and copy queries stay, complete and in order.
 #[test]
 fn a_drain_removes_unstarted_calls_and_nothing_else() {
     let frame = |code, id| encode(code, id, "queue=c,path=7", b"body");
@@ -202,8 +204,8 @@
     }
 }
 
-/// A client cancels a call and reuses its id at once, or reuses the id of a served call. A reply to the first call (or a
-/// repeated one) must not end the second, so the second is not sent on that connection.
+/// A client cancels a call and reuses its id at once, or reuses the id of a served call. A reply to the first
+/// call (or a repeated one) must not end the second, so the second is not sent on that connection.
 #[rstest]
 #[case::cancelled(false)]
 #[case::served(true)]
@@ -228,7 +230,8 @@
     assert_eq!(attempt_end(&reports), (second, Outcome::NotSent));
 }
 
-/// A call that was rejected without a run may be sent again to the same worker, on the same connection and under its id.
+/// A call that was rejected without a run may be sent again to the same worker, on the same connection and
+/// under its id.
 #[test]
 fn a_rejected_call_may_be_sent_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/heronslip/tests/wall_clock.rs
+++ b/heronslip/tests/wall_clock.rs
@@ -12,8 +12,8 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Lists an old worker and one that started just now by a clock that is `ahead_ms` ahead of the front end's. Sends 200
-/// calls `after` the new worker is listed, and returns how many each worker received.
+/// Lists an old worker and one that started just now by a clock that is `ahead_ms` ahead of the front end's.
+/// Sends 200 calls `after` the new worker is listed, and returns how many each worker received.
 fn calls_after_a_start(ahead_ms: i64, settings: &str, after: Duration) -> [usize; 2] {
     let (old, calls_of_old) = counting_worker();
     let (new, calls_of_new) = counting_worker();
@@ -41,11 +41,12 @@
     [calls_of_old, calls_of_new].map(|calls| calls.load(Ordering::Acquire))
 }
 
-/// The front end's clock is ahead: a worker that has just started looks an hour old, and would get the calls of a warm
-/// one.
+/// The front end's clock is ahead: a worker that has just started looks an hour old, and would get the calls
+/// of a warm one.
 #[test]
 fn a_new_worker_is_cold_whatever_the_wall_clock_shows() {
-    // A cold worker gets almost no calls for half an hour, longer than the slowest machine takes for this test.
+    // A cold worker gets almost no calls for half an hour, longer than the slowest machine takes for this
+    // test.
     let settings = SETTINGS
         .replace(r#""warm-within":17000"#, r#""warm-within":1800000"#)
         .replace(r#""cold-from":0.2"#, r#""cold-from":0"#)
