--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -61,6 +61,7 @@
         let worker = match entry {
             Ok(worker) => worker,
             Err(invalid) => {
+                // The worker stays as it was: it counts as named, so that a full list does not remove it.
                 if let Some(listed) = invalid.id.as_deref().and_then(|id| self.listed.get_mut(id)) {
                     (listed.last_event, listed.changed_by_event) = (self.event, false);
                 }
--- a/heronslip/src/worker/frames.rs
+++ b/heronslip/src/worker/frames.rs
@@ -37,12 +37,14 @@
 const CODE_NOT_ACCEPTING: u8 = 207;
 const HEADER_BYTES: usize = 16;
 const CHECKSUM_BYTES: usize = 4;
-/// A call's frame of which no byte has been written by then is removed: it would tell the worker of more time
-/// than is left.
+/// A call's frame of which no byte has been written this long after it was encoded is removed: the budget in
+/// it would tell the worker of more time than is left.
 const MAX_BUDGET_AGE: Duration = Duration::from_millis(100);
 /// Ids of ended calls that a connection remembers. A reply that crosses its cancel, or comes twice, arrives
 /// within fewer calls than this.
 const REMEMBERED_IDS: usize = 256;
+/// Why a connection ends after a panic while its exchanges were locked.
+const POISONED: &str = "the lock of the connection's exchanges is poisoned";
 
 /// Encodes one frame.
 pub fn encode(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
@@ -248,6 +250,7 @@
     /// Where in the stream of written bytes its frame ends.
     frame_end: u64,
     started: Instant,
+    /// The function whose copies a liveness check queries.
     function: FunctionId,
 }
 
@@ -472,10 +475,10 @@
             let Ok(table) = connection.state.exchanges.lock() else { continue };
             // A probe names no function to query, and its own timeout is short.
             let pending = || {
-                let unchecked = |e: &&PendingExchange| {
+                let is_guarded = |e: &&PendingExchange| {
                     !matches!(e.key, ExchangeKey::LivenessCheck | ExchangeKey::Probe(_))
                 };
-                table.pending.values().filter(unchecked)
+                table.pending.values().filter(is_guarded)
             };
             let oldest = pending().min_by_key(|e| e.started).map(|e| (e.started, e.function));
             let last_reply = table.last_reply;
@@ -498,6 +501,7 @@
                     // While only old exchanges (loads) are pending, checks become less and less frequent.
                     let waited = if started_since { Duration::ZERO } else { started.elapsed() / 2 };
                     if quiet > limits.liveness_check_after.max(waited) {
+                        // Apart from the ids of load commands and probes, which count down from the largest.
                         let (id, key) = (u64::MAX / 2 - next_connection_id(), ExchangeKey::LivenessCheck);
                         connection.state.pending.fetch_add(1, Ordering::AcqRel);
                         let first_frame = FirstFrame::Encoded(load_frame(id, function, 0));
@@ -687,14 +691,15 @@
         // Commands that are still queued, or are queued until the transport drops its sender at a sweep, were
         // never written.
         for command in std::mem::take(&mut writer.waiting) {
-            writer.reject(command);
+            writer.fail_unsent(command);
         }
         while let Ok(command) = commands.recv() {
-            writer.reject(command);
+            writer.fail_unsent(command);
         }
     }
 
-    fn reject(&self, command: Command) {
+    /// Ends the exchange of a command that was never written.
+    fn fail_unsent(&self, command: Command) {
         if let Command::Start { key, .. } = command {
             end_exchange(&self.reports, &self.state, key, Outcome::ConnectFailed);
         }
@@ -873,7 +878,7 @@
         if !self.fits(&frame)? {
             return Ok(true);
         }
-        let Ok(mut table) = self.state.exchanges.lock() else { return Err("poisoned".to_owned()) };
+        let Ok(mut table) = self.state.exchanges.lock() else { return Err(POISONED.to_owned()) };
         if table.broken || table.is_id_in_use(id) {
             // Replies to two exchanges under one id could not be told apart, so the later one is not sent.
             // That is no failure of the worker.
@@ -935,7 +940,7 @@
     while let Some(frame) = decoder.next_frame(ring, max_body)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("unknown code {}", frame.code))?;
         let exchange = {
-            let mut table = state.exchanges.lock().map_err(|_| "poisoned")?;
+            let mut table = state.exchanges.lock().map_err(|_| POISONED)?;
             table.last_reply = Some(Instant::now());
             let exchange = table.pending.remove(&frame.id);
             // After a reply that says that nothing ran, another attempt under the same id may follow here.
--- a/heronslip/src/worker/kserve.rs
+++ b/heronslip/src/worker/kserve.rs
@@ -477,8 +477,8 @@
     std::str::from_utf8(body).ok().and_then(|t| parse(t).ok())
 }
 
-/// The outcome that an HTTP status stands for. A worker responds with 404 if it does not have the model, and with 429
-/// or 503 if it accepts no work: in none of these cases has anything run.
+/// The outcome that an HTTP status stands for. A worker responds with 404 if it does not have the model, and
+/// with 429 or 503 if it accepts no work: in none of these cases has anything run.
 fn outcome(status: u16) -> Outcome {
     match status {
         200 => Outcome::Ok,
--- a/heronslip/tests/common/mod.rs
+++ b/heronslip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness: starts the program between stand-in clients, workers and discovery servers, which are written
-//! from the protocols' specifications, and runs scenarios. A scenario has one step per line:
+//! Test harness: starts the program between stand-in clients, workers and discovery servers, which are
+//! written from the protocols' specifications, and runs scenarios. A scenario has one step per line:
 //!
 //!     client send CLASS KEY BODY WAIT_MS    sends a request; key `-` is none
 //!     client send partial | endless         a request that stops midway; one whose body does not end
@@ -53,6 +53,27 @@
 /// How long nothing must happen where a test expects nothing.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
+/// Codes of the binary protocol's frames.
+pub mod code {
+    pub const CALL: u8 = 2;
+    pub const CANCEL: u8 = 3;
+    /// The protocol's other probe, which the program does not send.
+    pub const ALTERNATIVE_PROBE: u8 = 4;
+    pub const PROBE: u8 = 5;
+    /// A load command; with 0 copies, a copy query.
+    pub const LOAD: u8 = 6;
+    pub const UNLOAD: u8 = 8;
+    pub const OK: u8 = 200;
+    /// Reply to a call: the function is not loaded.
+    pub const NOT_LOADED: u8 = 202;
+    pub const REJECTED: u8 = 203;
+    pub const ERROR: u8 = 204;
+    /// Reply to a probe: the worker accepts work.
+    pub const ACCEPTING: u8 = 206;
+    /// Reply to a probe: the worker does not accept work.
+    pub const NOT_ACCEPTING: u8 = 207;
+}
+
 /// A protocol that clients and workers use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Protocol {
@@ -169,9 +190,9 @@
     pub fn start(config: ProgramConfig) -> TestProgram {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder =
+        let directory =
             std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{run}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder for the files");
+        std::fs::create_dir_all(&directory).expect("a directory for the files");
         let (call_sender, calls) = channel();
         let workers: Vec<SocketAddr> = match &config.workers[..] {
             [] => (0..4).map(|n| start_worker(config.protocol, n / 2, call_sender.clone())).collect(),
@@ -194,8 +215,8 @@
             Protocol::Kserve => (String::new(), localities.join(",")),
         };
         let write = |name: &str, text: String| {
-            std::fs::write(folder.join(name), text).expect("a file");
-            folder.join(name)
+            std::fs::write(directory.join(name), text).expect("a file");
+            directory.join(name)
         };
         let full_list = format!(r#"{{"rev":1,"pool":{{"reset":true,"instances":[{instances}]}}}}"#);
         let (settings, sockets) = (&config.settings, config.sockets);
@@ -786,9 +807,13 @@
         loop {
             let command = CommandFrame::read(stream).expect("a command");
             match command.code {
-                6 => stream.write_all(&reply_frame(200, command.id, "slots_up=1", &[])).expect("written"),
-                4 | 5 => stream.write_all(&reply_frame(206, command.id, "", &[])).expect("written"),
-                8 => {}
+                code::LOAD => {
+                    stream.write_all(&reply_frame(code::OK, command.id, "slots_up=1", &[])).expect("written");
+                }
+                code::PROBE | code::ALTERNATIVE_PROBE => {
+                    stream.write_all(&reply_frame(code::ACCEPTING, command.id, "", &[])).expect("written");
+                }
+                code::UNLOAD => {}
                 _ => return command,
             }
         }
@@ -797,7 +822,7 @@
     /// Replies to a call with this body.
     pub fn serve(&mut self, id: u64, body: &str) {
         let stream = self.stream.as_mut().expect("connected");
-        stream.write_all(&reply_frame(200, id, "detail=resident", body.as_bytes())).expect("written");
+        stream.write_all(&reply_frame(code::OK, id, "detail=resident", body.as_bytes())).expect("written");
     }
 
     /// Whether no connection waits to be accepted.
@@ -834,9 +859,13 @@
         let id = command.id;
         match command.code {
             _ if muted.load(Ordering::Acquire) => {}
-            6 => stream.write_all(&reply_frame(200, id, "slots_up=1", &[])).expect("written"),
-            4 | 5 => stream.write_all(&reply_frame(206, id, "", &[])).expect("written"),
-            2 => {
+            code::LOAD => {
+                stream.write_all(&reply_frame(code::OK, id, "slots_up=1", &[])).expect("written");
+            }
+            code::PROBE | code::ALTERNATIVE_PROBE => {
+                stream.write_all(&reply_frame(code::ACCEPTING, id, "", &[])).expect("written");
+            }
+            code::CALL => {
                 assert_eq!(command.field("path"), FUNCTION);
                 let field = |name: &str| command.field(name).to_owned();
                 let (class, key, body) = (field("queue"), field("uniq"), content(&command.body));
@@ -904,21 +933,21 @@
 
     /// Replies to the call, as a scenario says.
     fn reply(&self, reply: &[&str]) {
-        let (code, status, body) = match *reply {
-            ["ok", body] => (200, "200 OK", body),
-            ["truncated" | "stall" | "corrupt"] => (200, "200 OK", "cut-short"),
-            ["miss"] => (202, "404 Not Found", ""),
-            ["full"] => (203, "503 Service Unavailable", ""),
-            ["error"] => (204, "500 Internal Server Error", ""),
+        let (reply_code, status, body) = match *reply {
+            ["ok", body] => (code::OK, "200 OK", body),
+            ["truncated" | "stall" | "corrupt"] => (code::OK, "200 OK", "cut-short"),
+            ["miss"] => (code::NOT_LOADED, "404 Not Found", ""),
+            ["full"] => (code::REJECTED, "503 Service Unavailable", ""),
+            ["error"] => (code::ERROR, "500 Internal Server Error", ""),
             _ => panic!("no such reply: {reply:?}"),
         };
         let bytes = match self.protocol {
-            Protocol::Platform => reply_frame(code, self.id, "detail=resident", body.as_bytes()),
+            Protocol::Platform => reply_frame(reply_code, self.id, "detail=resident", body.as_bytes()),
             Protocol::Kserve => {
                 let data = format!(
                     r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
                 );
-                let body = if code == 200 { &data } else { r#"{"error":"no"}"# };
+                let body = if reply_code == code::OK { &data } else { r#"{"error":"no"}"# };
                 format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
             }
         };
--- a/heronslip/tests/common/stand_ins.rs
+++ b/heronslip/tests/common/stand_ins.rs
@@ -1,5 +1,5 @@
 //! Stand-ins that several tests share: workers that serve every call, and a listener on which connects hang.
-use super::{reply_frame, CommandFrame};
+use super::{code, reply_frame, CommandFrame};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,14 +24,14 @@
 
 fn serve(mut stream: TcpStream, calls: &AtomicUsize) {
     while let Ok(command) = CommandFrame::read(&mut stream) {
-        let (code, fields, body) = match command.code {
-            2 => (200, "detail=resident", &command.body[..]),
-            4 | 5 => (206, "", &[][..]),
-            6 => (200, "slots_up=1", &[][..]),
+        let (reply_code, fields, body) = match command.code {
+            code::CALL => (code::OK, "detail=resident", &command.body[..]),
+            code::PROBE | code::ALTERNATIVE_PROBE => (code::ACCEPTING, "", &[][..]),
+            code::LOAD => (code::OK, "slots_up=1", &[][..]),
             _ => continue,
         };
-        calls.fetch_add(usize::from(command.code == 2), Ordering::AcqRel);
-        if stream.write_all(&reply_frame(code, command.id, fields, body)).is_err() {
+        calls.fetch_add(usize::from(command.code == code::CALL), Ordering::AcqRel);
+        if stream.write_all(&reply_frame(reply_code, command.id, fields, body)).is_err() {
             return;
         }
     }
--- a/heronslip/tests/discovery_outage.rs
+++ b/heronslip/tests/discovery_outage.rs
@@ -10,7 +10,7 @@
 
 use common::discovery_server::{accept_request, bind_discovery_server, RESPONSE_HEAD};
 use common::{
-    connect, fastcgi_call, read_fastcgi_response, reply_frame, CommandFrame, ProgramConfig, TestProgram,
+    code, connect, fastcgi_call, read_fastcgi_response, reply_frame, CommandFrame, ProgramConfig, TestProgram,
 };
 use rstest::rstest;
 use std::io::Write;
@@ -57,16 +57,18 @@
     fn serve(&self, mut stream: TcpStream) {
         while let Ok(command) = CommandFrame::read(&mut stream) {
             let draining = self.draining.load(Ordering::Acquire);
-            let (sent, code, fields) = match (command.code, command.field("slots_up")) {
-                (2, _) => (Sent::Call, if draining { 203 } else { 200 }, "detail=resident"),
-                (6, "0") => (Sent::Query, 200, "slots_up=1"),
-                (6, _) => (Sent::LoadCommand, if draining { 203 } else { 200 }, "slots_up=1"),
-                (4 | 5, _) => (Sent::Query, if draining { 207 } else { 206 }, ""),
+            let work_reply = if draining { code::REJECTED } else { code::OK };
+            let probe_reply = if draining { code::NOT_ACCEPTING } else { code::ACCEPTING };
+            let (sent, reply_code, fields) = match (command.code, command.field("slots_up")) {
+                (code::CALL, _) => (Sent::Call, work_reply, "detail=resident"),
+                (code::LOAD, "0") => (Sent::Query, code::OK, "slots_up=1"),
+                (code::LOAD, _) => (Sent::LoadCommand, work_reply, "slots_up=1"),
+                (code::PROBE | code::ALTERNATIVE_PROBE, _) => (Sent::Query, probe_reply, ""),
                 _ => continue,
             };
             self.received.lock().expect("not poisoned").push((sent, Instant::now()));
-            let body: &[u8] = if code == 200 && sent == Sent::Call { &command.body } else { &[] };
-            if stream.write_all(&reply_frame(code, command.id, fields, body)).is_err() {
+            let body: &[u8] = if reply_code == code::OK && sent == Sent::Call { &command.body } else { &[] };
+            if stream.write_all(&reply_frame(reply_code, command.id, fields, body)).is_err() {
                 return;
             }
         }
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -2,6 +2,7 @@
 //! closes connections.
 mod common;
 
+use common::code;
 use common::stand_ins::saturated_listener;
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Message, Payload, Request};
@@ -20,7 +21,7 @@
     FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
-/// Rule 3: a worker that drains gets no new work. A load command that still waits for its connection is not
+/// Rule 3 (a worker that drains gets no new work): a load command that still waits for its connection is not
 /// written.
 #[test]
 fn a_load_command_that_waits_for_a_connection_is_not_written_after_a_drain() {
@@ -155,7 +156,7 @@
     transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     let (_, id, _) = read_command(&mut stream);
-    write_reply(&mut stream, 203, id, fields);
+    write_reply(&mut stream, code::REJECTED, id, fields);
     match reports.recv_timeout(Duration::from_secs(20)) {
         Ok(Message::AttemptEnded { report, .. }) => assert_eq!(report.inflight, inflight),
         _ => panic!("the attempt did not end"),
@@ -178,9 +179,10 @@
 /// Calls that have been written in part, cancels and copy queries stay, complete and in order.
 #[test]
 fn a_drain_removes_unstarted_calls_and_nothing_else() {
-    let frame = |code, id| encode(code, id, "queue=c,path=7", b"body");
-    let (started, unstarted, cancel) = (frame(2, 1), frame(2, 2), encode(3, 9, "", b""));
-    let (query, last) = (frame(6, 3), frame(2, 4));
+    let frame = |frame_code, id| encode(frame_code, id, "queue=c,path=7", b"body");
+    let (started, unstarted, cancel) =
+        (frame(code::CALL, 1), frame(code::CALL, 2), encode(code::CANCEL, 9, "", b""));
+    let (query, last) = (frame(code::LOAD, 3), frame(code::CALL, 4));
     let (while_ready, now) = (StartCondition::WhileReady { deadline: None }, Instant::now());
     let mut queue = WriteQueue::new(4096);
     queue.push(&started, Some((1, while_ready)));
@@ -217,16 +219,16 @@
     let [first, second] = [1, 2].map(|request| AttemptKey { request, attempt: 0 });
     transport.send_attempt(first, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
-    assert_eq!(read_command(&mut stream).0, 2);
+    assert_eq!(read_command(&mut stream).0, code::CALL);
     if served {
-        write_reply(&mut stream, 200, 9, "");
+        write_reply(&mut stream, code::OK, 9, "");
         assert_eq!(attempt_end(&reports), (first, Outcome::Ok));
     } else {
         transport.cancel_attempt(first);
-        assert_eq!(read_command(&mut stream).0, 3);
+        assert_eq!(read_command(&mut stream).0, code::CANCEL);
     }
     transport.send_attempt(second, &request(9), 1_000_000, None);
-    write_reply(&mut stream, 200, 9, ""); // the reply to the first call
+    write_reply(&mut stream, code::OK, 9, ""); // the reply to the first call
     assert_eq!(attempt_end(&reports), (second, Outcome::NotSent));
 }
 
@@ -239,12 +241,13 @@
     let limits = Limits::new(192, 1024, &Settings::default());
     let mut transport = frame_transport(listener.local_addr().expect("bound"), limits, queue);
     let mut stream = None;
-    for (attempt, (code, outcome)) in [(203, Outcome::Rejected), (200, Outcome::Ok)].into_iter().enumerate() {
+    let replies = [(code::REJECTED, Outcome::Rejected), (code::OK, Outcome::Ok)];
+    for (attempt, (reply_code, outcome)) in replies.into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
         transport.send_attempt(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
-        assert_eq!(read_command(stream).0, 2);
-        write_reply(stream, code, 9, "");
+        assert_eq!(read_command(stream).0, code::CALL);
+        write_reply(stream, reply_code, 9, "");
         assert_eq!(attempt_end(&reports), (key, outcome));
     }
 }
