--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The transport of the binary protocol: what it writes, what it removes before it is written, and when it
-//! closes connections.
+//! The transports to workers: what they write, what they remove before it is written, and when they close
+//! connections.
 mod common;
 
 use common::code;
@@ -7,6 +7,7 @@
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Message, Payload, Request};
 use heronslip::worker::frames::{encode, FrameTransport, RemovedFrames, StartCondition, WriteQueue};
+use heronslip::worker::kserve::KserveTransport;
 use heronslip::worker::{ReportSender, Transport};
 use heronslip_policy::{Outcome, Settings};
 use rstest::rstest;
@@ -251,3 +252,41 @@
         assert_eq!(attempt_end(&reports), (key, outcome));
     }
 }
+
+/// A call to a KServe worker carries these headers, letter for letter: a worker ignores a header under
+/// another name, and no error shows that it does not know its budget.
+#[rstest]
+#[case::wrapped_body(Payload::Bytes(b"body".to_vec()))]
+#[case::json_body(Payload::Json(br#"{"inputs":[]}"#.to_vec()))]
+fn a_call_to_a_kserve_worker_carries_its_headers(#[case] payload: Payload) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let limits = Limits::new(192, 1024, &Settings::default());
+    heronslip::net::configure_scheduler(&limits);
+    let (queue, _reports) = mpsc::channel();
+    let mut transport = KserveTransport::new(address, Arc::new(limits), ReportSender(queue));
+    let mut request = request(9);
+    Arc::get_mut(&mut request).expect("not shared yet").payload = payload;
+    // Sent as 60,000 ms: rounding up would tell the worker of more time than is left.
+    let budget_us = 60_000_999;
+    transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request, budget_us, None);
+    let (mut stream, _) = listener.accept().expect("a connection");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).expect("a head");
+        head.extend(byte);
+    }
+    let head = String::from_utf8(head).expect("text");
+    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).expect("a length");
+    let expected = format!(
+        "POST /v2/models/0000000000000007/infer HTTP/1.1\r\nHost: {address}\r\n\
+         Content-Type: application/json\r\nContent-Length: {length}\r\nX-Budget-Ms: 60000\r\n\r\n"
+    );
+    assert_eq!(head, expected);
+    let mut body = vec![0; length.parse().expect("a number")];
+    stream.read_exact(&mut body).expect("a body of this length");
+    let body = String::from_utf8(body).expect("text");
+    assert!(heronslip_policy::json::parse(&body).is_ok(), "{body}");
+}
