--- a/heronslip/src/discovery/table.rs
+++ b/heronslip/src/discovery/table.rs
@@ -1,4 +1,5 @@
-//! The worker list as the discovery service last sent it, kept so that only changes are passed on to the core.
+//! The worker list as the discovery service last sent it, kept so that only changes are passed on to the
+//! core.
 use super::instance::InvalidInstance;
 use crate::messages::{ListedWorker, WorkerProtocol};
 use heronslip_policy::WorkerState;
@@ -20,13 +21,13 @@
 
 /// The worker list.
 ///
-/// An event is staged entry by entry and changes nothing before it is committed, so an event that breaks off leaves the
-/// list as it was.
+/// An event is staged entry by entry and changes nothing before it is committed, so an event that breaks off
+/// leaves the list as it was.
 #[derive(Debug, Default)]
 pub struct WorkerTable {
     listed: HashMap<Box<str>, TableEntry>,
-    /// How many workers are listed at each address. The core keeps only one worker per address, so entries of workers
-    /// that share one are always passed on.
+    /// How many workers are listed at each address. The core keeps only one worker per address, so entries of
+    /// workers that share one are always passed on.
     workers_at: HashMap<SocketAddr, u32>,
     /// Number of the current event.
     event: u32,
@@ -60,6 +61,7 @@
         let worker = match entry {
             Ok(worker) => worker,
             Err(invalid) => {
+                // The worker stays as it was: it counts as named, so that a full list does not remove it.
                 if let Some(listed) = invalid.id.as_deref().and_then(|id| self.listed.get_mut(id)) {
                     (listed.last_event, listed.changed_by_event) = (self.event, false);
                 }
@@ -79,8 +81,8 @@
         staged.changed.push(worker);
     }
 
-    /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that it does
-    /// not name.
+    /// Applies an event, and returns the changes to pass on to the core. A full list removes the workers that
+    /// it does not name.
     pub fn commit(&mut self, full: bool, staged: StagedEvent) -> Vec<ListedWorker> {
         let mut changes = Vec::new();
         if full {
--- a/heronslip/tests/common/stand_ins.rs
+++ b/heronslip/tests/common/stand_ins.rs
@@ -1,13 +1,13 @@
 //! Stand-ins that several tests share: workers that serve every call, and a listener on which connects hang.
-use super::{reply_frame, CommandFrame};
+use super::{code, reply_frame, CommandFrame};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Starts a worker that serves every call with the call's own body, and replies to other commands as if every function
-/// had a loaded copy. Returns its address and the number of calls that it has received.
+/// Starts a worker that serves every call with the call's own body, and replies to other commands as if every
+/// function had a loaded copy. Returns its address and the number of calls that it has received.
 pub fn counting_worker() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -24,14 +24,14 @@
 
 fn serve(mut stream: TcpStream, calls: &AtomicUsize) {
     while let Ok(command) = CommandFrame::read(&mut stream) {
-        let (code, fields, body) = match command.code {
-            2 => (200, "detail=resident", &command.body[..]),
-            4 | 5 => (206, "", &[][..]),
-            6 => (200, "slots_up=1", &[][..]),
+        let (reply_code, fields, body) = match command.code {
+            code::CALL => (code::OK, "detail=resident", &command.body[..]),
+            code::PROBE | code::ALTERNATIVE_PROBE => (code::ACCEPTING, "", &[][..]),
+            code::LOAD => (code::OK, "slots_up=1", &[][..]),
             _ => continue,
         };
-        calls.fetch_add(usize::from(command.code == 2), Ordering::AcqRel);
-        if stream.write_all(&reply_frame(code, command.id, fields, body)).is_err() {
+        calls.fetch_add(usize::from(command.code == code::CALL), Ordering::AcqRel);
+        if stream.write_all(&reply_frame(reply_code, command.id, fields, body)).is_err() {
             return;
         }
     }
@@ -42,8 +42,8 @@
     counting_worker().0
 }
 
-/// A listener whose accept queue is full, and the connections that fill it: further connects hang until some are
-/// accepted.
+/// A listener whose accept queue is full, and the connections that fill it: further connects hang until some
+/// are accepted.
 pub fn saturated_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
--- a/heronslip/tests/transport.rs
+++ b/heronslip/tests/transport.rs
@@ -1,11 +1,13 @@
-//! The transport of the binary protocol: what it writes, what it removes before it is written, and when it closes
+//! The transports to workers: what they write, what they remove before it is written, and when they close
 //! connections.
 mod common;
 
+use common::code;
 use common::stand_ins::saturated_listener;
 use heronslip::limits::Limits;
 use heronslip::messages::{AttemptKey, Message, Payload, Request};
 use heronslip::worker::frames::{encode, FrameTransport, RemovedFrames, StartCondition, WriteQueue};
+use heronslip::worker::kserve::KserveTransport;
 use heronslip::worker::{ReportSender, Transport};
 use heronslip_policy::{Outcome, Settings};
 use rstest::rstest;
@@ -20,7 +22,8 @@
     FrameTransport::new(address, Arc::new(limits), ReportSender(reports))
 }
 
-/// Rule 3: a worker that drains gets no new work. A load command that still waits for its connection is not written.
+/// Rule 3 (a worker that drains gets no new work): a load command that still waits for its connection is not
+/// written.
 #[test]
 fn a_load_command_that_waits_for_a_connection_is_not_written_after_a_drain() {
     let (listener, fillers) = saturated_listener();
@@ -139,7 +142,8 @@
     stream.write_all(&frame).expect("written");
 }
 
-/// The policy balances calls by the number of requests in flight that workers report, so the transport must pass it on.
+/// The policy balances calls by the number of requests in flight that workers report, so the transport must
+/// pass it on.
 #[rstest]
 #[case::name_in_the_settings("detail=resident,use=busy_reqs:2.5;x1:1", Some(2.5))]
 #[case::name_in_the_protocol("use=x1:3;inflight:7", Some(7.0))]
@@ -153,7 +157,7 @@
     transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     let (_, id, _) = read_command(&mut stream);
-    write_reply(&mut stream, 203, id, fields);
+    write_reply(&mut stream, code::REJECTED, id, fields);
     match reports.recv_timeout(Duration::from_secs(20)) {
         Ok(Message::AttemptEnded { report, .. }) => assert_eq!(report.inflight, inflight),
         _ => panic!("the attempt did not end"),
@@ -172,13 +176,14 @@
     written
 }
 
-/// The worker drains while the socket is not writable. Calls of which no byte has been written are removed. Calls that
-/// have been written in part, cancels and copy queries stay, complete and in order.
+/// The worker drains while the socket is not writable. Calls of which no byte has been written are removed.
+/// Calls that have been written in part, cancels and copy queries stay, complete and in order.
 #[test]
 fn a_drain_removes_unstarted_calls_and_nothing_else() {
-    let frame = |code, id| encode(code, id, "queue=c,path=7", b"body");
-    let (started, unstarted, cancel) = (frame(2, 1), frame(2, 2), encode(3, 9, "", b""));
-    let (query, last) = (frame(6, 3), frame(2, 4));
+    let frame = |frame_code, id| encode(frame_code, id, "queue=c,path=7", b"body");
+    let (started, unstarted, cancel) =
+        (frame(code::CALL, 1), frame(code::CALL, 2), encode(code::CANCEL, 9, "", b""));
+    let (query, last) = (frame(code::LOAD, 3), frame(code::CALL, 4));
     let (while_ready, now) = (StartCondition::WhileReady { deadline: None }, Instant::now());
     let mut queue = WriteQueue::new(4096);
     queue.push(&started, Some((1, while_ready)));
@@ -202,8 +207,8 @@
     }
 }
 
-/// A client cancels a call and reuses its id at once, or reuses the id of a served call. A reply to the first call (or a
-/// repeated one) must not end the second, so the second is not sent on that connection.
+/// A client cancels a call and reuses its id at once, or reuses the id of a served call. A reply to the first
+/// call (or a repeated one) must not end the second, so the second is not sent on that connection.
 #[rstest]
 #[case::cancelled(false)]
 #[case::served(true)]
@@ -215,20 +220,21 @@
     let [first, second] = [1, 2].map(|request| AttemptKey { request, attempt: 0 });
     transport.send_attempt(first, &request(9), 1_000_000, None);
     let (mut stream, _) = listener.accept().expect("a connection");
-    assert_eq!(read_command(&mut stream).0, 2);
+    assert_eq!(read_command(&mut stream).0, code::CALL);
     if served {
-        write_reply(&mut stream, 200, 9, "");
+        write_reply(&mut stream, code::OK, 9, "");
         assert_eq!(attempt_end(&reports), (first, Outcome::Ok));
     } else {
         transport.cancel_attempt(first);
-        assert_eq!(read_command(&mut stream).0, 3);
+        assert_eq!(read_command(&mut stream).0, code::CANCEL);
     }
     transport.send_attempt(second, &request(9), 1_000_000, None);
-    write_reply(&mut stream, 200, 9, ""); // the reply to the first call
+    write_reply(&mut stream, code::OK, 9, ""); // the reply to the first call
     assert_eq!(attempt_end(&reports), (second, Outcome::NotSent));
 }
 
-/// A call that was rejected without a run may be sent again to the same worker, on the same connection and under its id.
+/// A call that was rejected without a run may be sent again to the same worker, on the same connection and
+/// under its id.
 #[test]
 fn a_rejected_call_may_be_sent_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -236,12 +242,51 @@
     let limits = Limits::new(192, 1024, &Settings::default());
     let mut transport = frame_transport(listener.local_addr().expect("bound"), limits, queue);
     let mut stream = None;
-    for (attempt, (code, outcome)) in [(203, Outcome::Rejected), (200, Outcome::Ok)].into_iter().enumerate() {
+    let replies = [(code::REJECTED, Outcome::Rejected), (code::OK, Outcome::Ok)];
+    for (attempt, (reply_code, outcome)) in replies.into_iter().enumerate() {
         let key = AttemptKey { request: 1, attempt };
         transport.send_attempt(key, &request(9), 1_000_000, None);
         let stream = stream.get_or_insert_with(|| listener.accept().expect("a connection").0);
-        assert_eq!(read_command(stream).0, 2);
-        write_reply(stream, code, 9, "");
+        assert_eq!(read_command(stream).0, code::CALL);
+        write_reply(stream, reply_code, 9, "");
         assert_eq!(attempt_end(&reports), (key, outcome));
     }
 }
+
+/// A call to a KServe worker carries these headers, letter for letter: a worker ignores a header under
+/// another name, and no error shows that it does not know its budget.
+#[rstest]
+#[case::wrapped_body(Payload::Bytes(b"body".to_vec()))]
+#[case::json_body(Payload::Json(br#"{"inputs":[]}"#.to_vec()))]
+fn a_call_to_a_kserve_worker_carries_its_headers(#[case] payload: Payload) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let limits = Limits::new(192, 1024, &Settings::default());
+    heronslip::net::configure_scheduler(&limits);
+    let (queue, _reports) = mpsc::channel();
+    let mut transport = KserveTransport::new(address, Arc::new(limits), ReportSender(queue));
+    let mut request = request(9);
+    Arc::get_mut(&mut request).expect("not shared yet").payload = payload;
+    // Sent as 60,000 ms: rounding up would tell the worker of more time than is left.
+    let budget_us = 60_000_999;
+    transport.send_attempt(AttemptKey { request: 1, attempt: 0 }, &request, budget_us, None);
+    let (mut stream, _) = listener.accept().expect("a connection");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).expect("a head");
+        head.extend(byte);
+    }
+    let head = String::from_utf8(head).expect("text");
+    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).expect("a length");
+    let expected = format!(
+        "POST /v2/models/0000000000000007/infer HTTP/1.1\r\nHost: {address}\r\n\
+         Content-Type: application/json\r\nContent-Length: {length}\r\nX-Budget-Ms: 60000\r\n\r\n"
+    );
+    assert_eq!(head, expected);
+    let mut body = vec![0; length.parse().expect("a number")];
+    stream.read_exact(&mut body).expect("a body of this length");
+    let body = String::from_utf8(body).expect("text");
+    assert!(heronslip_policy::json::parse(&body).is_ok(), "{body}");
+}
